--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -1,7 +1,7 @@
 //! The ENUM front, VRRP and their state machines: the router as a process between resolvers, callers and
 //! stand-in DNS servers, and the protocols fed by hand.
 
-mod stand;
+mod harness;
 
 use std::collections::{BTreeMap, HashSet};
 use std::io::{Read, Write};
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use harness::*;
 use quartzspindle::protocol::dns::{self, Lead, Message, Name, Naptr};
 use quartzspindle::protocol::vrrp::{Advertisement, Router as Virtual, Setup, State};
 use rstest::rstest;
 use serde_json::{json, Value};
-use stand::*;
 
 fn name(text: &str) -> Name {
     Name::parse(text).unwrap()
@@ -39,7 +39,7 @@
 }
 
 fn server(mut behave: impl FnMut(usize) -> Does + Send + 'static) -> SocketAddr {
-    let socket = UdpSocket::bind(any_port()).unwrap();
+    let socket = UdpSocket::bind(ephemeral_address()).unwrap();
     let address = socket.local_addr().unwrap();
     thread::spawn(move || {
         let mut buffer = [0; 1500];
@@ -68,7 +68,7 @@
 }
 
 fn with_enum(exchanges: &[SocketAddr], upstreams: &[SocketAddr], more: &Value) -> Value {
-    let mut config = config(exchanges);
+    let mut config = router_config(exchanges);
     let upstreams: Vec<String> = upstreams.iter().map(ToString::to_string).collect();
     config["enum"] = json!({"listen": "127.0.0.1:0", "upstreams": upstreams, "answer_within_ms": 3000,
         "query_timeout_ms": 700, "routes": {"place1.example": 1}});
@@ -112,7 +112,7 @@
 #[case::lost_always(|_| Does::Drop, 2, 0)]
 fn a_resolver_gets_one_answer(#[case] behave: fn(usize) -> Does, #[case] rcode: u8, #[case] records: usize) {
     let mut router = Router::start(&with_enum(&[], &[server(behave)], &json!({})));
-    let (to, socket) = (router.address("answering look-ups"), resolver());
+    let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     let answer = ask(&socket, to, 7, NUMBER);
     assert!(answer.response && answer.id == 7);
     assert_eq!((answer.rcode, answer.records.len()), (rcode, records));
@@ -125,9 +125,9 @@
 fn a_lost_query_is_repeated_only_after_its_time_out_and_the_guard() {
     let behave = |n| if n == 0 { Does::Drop } else { Does::Answer(0, vec![to_place(1)]) };
     let mut router = Router::start(&with_enum(&[], &[server(behave)], &json!({})));
-    let to = router.address("answering look-ups");
+    let to = router.logged_address("answering look-ups");
     let begun = Instant::now();
-    assert_eq!(ask(&resolver(), to, 10, NUMBER).records.len(), 1);
+    assert_eq!(ask(&bind_resolver(), to, 10, NUMBER).records.len(), 1);
     assert!(begun.elapsed() >= Duration::from_millis(700 + 500), "{:?}", begun.elapsed());
 }
 
@@ -135,8 +135,8 @@
 fn a_refusing_server_is_passed_over_for_the_next() {
     let upstreams = [server(|_| Does::Answer(5, vec![])), server(|_| Does::Answer(0, vec![to_place(1)]))];
     let mut router = Router::start(&with_enum(&[], &upstreams, &json!({})));
-    let to = router.address("answering look-ups");
-    assert_eq!(ask(&resolver(), to, 8, NUMBER).records, vec![to_place(1)]);
+    let to = router.logged_address("answering look-ups");
+    assert_eq!(ask(&bind_resolver(), to, 8, NUMBER).records, vec![to_place(1)]);
 }
 
 fn spoilt(query: &Message, _: &[u8]) -> Vec<Vec<u8>> {
@@ -154,8 +154,8 @@
 ) {
     let upstreams = [server(move |_| Does::Raw(make)), server(|_| Does::Answer(0, vec![to_place(1)]))];
     let mut router = Router::start(&with_enum(&[], &upstreams, &json!({"query_timeout_ms": 3000})));
-    let (to, begun) = (router.address("answering look-ups"), Instant::now());
-    assert_eq!(ask(&resolver(), to, 8, NUMBER).records, vec![to_place(1)]);
+    let (to, begun) = (router.logged_address("answering look-ups"), Instant::now());
+    assert_eq!(ask(&bind_resolver(), to, 8, NUMBER).records, vec![to_place(1)]);
     assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
 }
 
@@ -192,14 +192,14 @@
     let mut config = with_enum(&[exchange.address], &[server_over_tcp(spoil)], &json!({"attempts": 1}));
     config["enum"]["listen"] = Value::Null;
     let router = Router::start(&config);
-    let mut caller = router.caller();
-    caller.ready();
-    caller.request("INVITE", "00000000000000a7", "X-Call-Class: voice\r\nX-Ring-Limit: 3000\r\n", BODY);
+    let mut caller = router.connect_client();
+    caller.wait_until_ready();
+    caller.send_request("INVITE", "00000000000000a7", "X-Call-Class: voice\r\nX-Ring-Limit: 3000\r\n", BODY);
     if answer == " 200 " {
-        let (_, stream, _) = exchange.hear("START");
-        started(&stream, "00000000000000a7");
+        let (_, stream, _) = exchange.receive("START");
+        send_started(&stream, "00000000000000a7");
     }
-    assert!(caller.hear().first.contains(answer));
+    assert!(caller.receive().first_line.contains(answer));
 }
 
 /// A reload changes the servers; a look-up in hand at one that is no longer named comes to its end there.
@@ -208,11 +208,11 @@
     let old = server(|_| Does::Later(Duration::from_millis(500), vec![to_place(1)]));
     let new = server(|_| Does::Answer(0, vec![to_place(2)]));
     let mut router = Router::start(&with_enum(&[], &[old], &json!({})));
-    let (to, socket) = (router.address("answering look-ups"), resolver());
+    let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     socket.send_to(&dns::query(1, &name(NUMBER)), to).unwrap();
     router.reload(&with_enum(&[], &[new], &json!({"listen": "127.0.0.1:1"})).to_string(), "reloaded");
-    router.logged("taken up at the next start only");
-    assert_eq!(ask(&resolver(), to, 2, NUMBER).records, vec![to_place(2)]);
+    router.wait_for_log("taken up at the next start only");
+    assert_eq!(ask(&bind_resolver(), to, 2, NUMBER).records, vec![to_place(2)]);
     let mut buffer = [0; 1500];
     let length = socket.recv(&mut buffer).unwrap();
     assert_eq!(dns::read(&buffer[..length]).unwrap().records, vec![to_place(1)]);
@@ -223,11 +223,11 @@
 fn after_sigterm_look_ups_are_still_answered() {
     let upstream = server(|_| Does::Later(Duration::from_millis(400), vec![to_place(1)]));
     let mut router = Router::start(&with_enum(&[], &[upstream], &json!({})));
-    let (to, socket) = (router.address("answering look-ups"), resolver());
+    let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     socket.send_to(&dns::query(1, &name(NUMBER)), to).unwrap();
     router.signal("-TERM");
-    router.logged("stopping");
-    assert_eq!(ask(&resolver(), to, 2, NUMBER).records.len(), 1);
+    router.wait_for_log("stopping");
+    assert_eq!(ask(&bind_resolver(), to, 2, NUMBER).records.len(), 1);
     assert!(socket.recv(&mut [0; 1500]).is_ok());
     assert!(router.child.wait().unwrap().success());
 }
@@ -238,7 +238,7 @@
     let upstream = server(|_| Does::Later(Duration::from_millis(1000), vec![to_place(1)]));
     let config = with_enum(&[], &[upstream], &json!({"most_look_ups": 16, "query_timeout_ms": 2000}));
     let mut router = Router::start(&config);
-    let (to, socket) = (router.address("answering look-ups"), resolver());
+    let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     for id in 0..12 {
         socket.send_to(&dns::query(id, &name(NUMBER)), to).unwrap();
     }
@@ -248,7 +248,7 @@
         assert_eq!(dns::read(&buffer[..length]).unwrap().rcode, dns::SERVFAIL, "six of twelve are in hand");
     }
     let other = UdpSocket::bind("127.0.0.2:0").unwrap();
-    other.set_read_timeout(Some(LIMIT)).unwrap();
+    other.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(ask(&other, to, 99, NUMBER).records.len(), 1);
 }
 
@@ -264,7 +264,7 @@
 #[case::another_zone("www.example", 5)]
 fn what_is_not_served_is_refused(#[case] asked: &str, #[case] rcode: u8) {
     let mut router = Router::start(&with_enum(&[], &[server(|_| Does::Drop)], &json!({})));
-    let (to, socket) = (router.address("answering look-ups"), resolver());
+    let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     assert_eq!(ask(&socket, to, 9, asked).rcode, rcode);
     // Garbage with a header gets FORMERR, what is a response or less than a header gets nothing.
     socket.send_to(&[1; 5], to).unwrap();
@@ -287,19 +287,19 @@
 ) {
     let exchange = Exchange::start();
     let router = Router::start(&with_enum(&[exchange.address], &[server(behave)], &json!({})));
-    let mut caller = router.caller();
-    caller.ready();
+    let mut caller = router.connect_client();
+    caller.wait_until_ready();
     let begun = Instant::now();
     let headers = "X-Call-Class: voice\r\nX-Ring-Limit: 2000\r\n";
-    caller.request("INVITE", "00000000000000e1", headers, BODY);
+    caller.send_request("INVITE", "00000000000000e1", headers, BODY);
     if refused.is_none() {
-        let (start, stream, _) = exchange.hear("START");
+        let (start, stream, _) = exchange.receive("START");
         assert_eq!(start["blob"], BODY);
-        started(&stream, "00000000000000e1");
+        send_started(&stream, "00000000000000e1");
     }
     let status = refused.unwrap_or(200);
-    assert!(caller.hear().first.contains(&format!(" {status} ")));
-    assert!(begun.elapsed() < Duration::from_millis(2000) + SLACK);
+    assert!(caller.receive().first_line.contains(&format!(" {status} ")));
+    assert!(begun.elapsed() < Duration::from_millis(2000) + TIMING_TOLERANCE);
 }
 
 /// A fifth of the queries is lost and the rest is late by seconds: each call still gets its one answer.
@@ -312,32 +312,32 @@
     let exchange = Exchange::start();
     let slow = json!({"query_timeout_ms": 2500, "share": 0.6, "answer_within_ms": 6000});
     let router = Router::start(&with_enum(&[exchange.address], &upstreams, &slow));
-    let mut caller = router.caller();
-    caller.ready();
+    let mut caller = router.connect_client();
+    caller.wait_until_ready();
     let address = exchange.address;
     thread::spawn(move || {
         let _ = address;
-        while let Some((start, stream, _)) = exchange.heard_within("START", LIMIT) {
-            started(&stream, start["tag"].as_str().unwrap());
+        while let Some((start, stream, _)) = exchange.receive_within("START", WAIT_TIMEOUT) {
+            send_started(&stream, start["tag"].as_str().unwrap());
         }
     });
     let mut asked = BTreeMap::new();
     for call in 0..CALLS {
         let headers = "X-Call-Class: voice\r\nX-Ring-Limit: 8000\r\n";
         let id = format!("{:016x}", 0xf00 + call);
-        caller.request("INVITE", &id, headers, BODY);
+        caller.send_request("INVITE", &id, headers, BODY);
         asked.insert(id, Instant::now());
         thread::sleep(Duration::from_millis(50)); // the callers' own pace
     }
     let (mut stood, mut answered) = (0, HashSet::new());
     while answered.len() < asked.len() {
-        let answer = caller.hear();
+        let answer = caller.receive();
         let id = answer.head.lines().find_map(|l| l.strip_prefix("Call-ID: ")).unwrap().to_owned();
-        assert!(asked[&id].elapsed() < Duration::from_secs(8) + SLACK, "{id} too late");
-        stood += u32::from(answer.first.contains(" 200 "));
+        assert!(asked[&id].elapsed() < Duration::from_secs(8) + TIMING_TOLERANCE, "{id} too late");
+        stood += u32::from(answer.first_line.contains(" 200 "));
         assert!(answered.insert(id), "a second answer");
     }
-    assert!(caller.within(Duration::from_millis(500)).is_none(), "one answer too many");
+    assert!(caller.receive_within(Duration::from_millis(500)).is_none(), "one answer too many");
     assert!(stood > 0, "no call stood");
     println!("{stood} of {CALLS} stood with {servers} servers");
 }
@@ -349,9 +349,9 @@
     let upstream = server(|_| Does::Later(Duration::from_millis(300), vec![to_place(1)]));
     let config = with_enum(&[exchange.address], &[upstream], &json!({"most_look_ups": 64}));
     let mut router = Router::start(&config);
-    let (to, socket) = (router.address("answering look-ups"), resolver());
-    let mut caller = router.caller();
-    caller.ready();
+    let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
+    let mut caller = router.connect_client();
+    caller.wait_until_ready();
     thread::scope(|scope| {
         let flood = scope.spawn(|| {
             for n in 0..20_000u32 {
@@ -366,13 +366,13 @@
             let id = format!("{:016x}", 0xd00 + call);
             if call % 10 == 9 {
                 let headers = "X-Call-Class: voice\r\nX-Ring-Limit: 4000\r\n";
-                caller.request("INVITE", &id, headers, BODY);
+                caller.send_request("INVITE", &id, headers, BODY);
             } else {
-                caller.invite(&id, 1, 1500);
+                caller.send_invite(&id, 1, 1500);
             }
-            let (_, stream, _) = exchange.hear("START");
-            started(&stream, &id);
-            assert!(caller.hear().first.contains(" 200 "));
+            let (_, stream, _) = exchange.receive("START");
+            send_started(&stream, &id);
+            assert!(caller.receive().first_line.contains(" 200 "));
         }
         flood.join().unwrap();
     });
@@ -511,13 +511,14 @@
 #[case::killed("-KILL")]
 fn of_two_routers_only_the_active_answers_and_the_other_takes_over(#[case] signal: &str) {
     let upstream = server(|_| Does::Answer(0, vec![to_place(1)]));
-    let ends = [resolver(), resolver()];
+    let ends = [bind_resolver(), bind_resolver()];
     let start = |priority: u8, end: &UdpSocket| {
         let mut config = with_enum(&[], &[upstream], &json!({}));
         config["vrrp"] = json!({"listen": "127.0.0.1:0", "peers": [end.local_addr().unwrap().to_string()],
             "vrid": 7, "priority": priority, "interval_cs": 50, "addresses": ["10.0.0.1"]});
         let mut router = Router::start(&config);
-        let (look_ups, vrrp) = (router.address("answering look-ups"), router.address("virtual router"));
+        let (look_ups, vrrp) =
+            (router.logged_address("answering look-ups"), router.logged_address("virtual router"));
         (router, look_ups, vrrp)
     };
     let (mut first, first_look_ups, first_vrrp) = start(200, &ends[0]);
@@ -532,22 +533,22 @@
             }
         });
     }
-    first.logged("state: Active");
-    assert_eq!(ask(&resolver(), first_look_ups, 1, NUMBER).records.len(), 1);
-    let socket = resolver();
+    first.wait_for_log("state: Active");
+    assert_eq!(ask(&bind_resolver(), first_look_ups, 1, NUMBER).records.len(), 1);
+    let socket = bind_resolver();
     socket.send_to(&dns::query(2, &name(NUMBER)), second_look_ups).unwrap();
     socket.set_read_timeout(Some(ms(300))).unwrap();
     assert!(socket.recv(&mut [0; 100]).is_err(), "a backup answered");
     first.signal(signal);
-    second.logged("state: Active");
-    assert_eq!(ask(&resolver(), second_look_ups, 3, NUMBER).records.len(), 1);
+    second.wait_for_log("state: Active");
+    assert_eq!(ask(&bind_resolver(), second_look_ups, 3, NUMBER).records.len(), 1);
     assert_eq!(first.child.wait().unwrap().success(), signal == "-TERM");
 }
 
 /// A reload changes the priority; the active router stays active and never says that it stops.
 #[test]
 fn a_reload_does_not_make_the_virtual_router_flap() {
-    let end = resolver();
+    let end = bind_resolver();
     let config = |priority: u8| {
         let mut config = with_enum(&[], &[server(|_| Does::Drop)], &json!({}));
         config["vrrp"] = json!({"listen": "127.0.0.1:0", "peers": [end.local_addr().unwrap().to_string()],
--- a/tests/stand/mod.rs
+++ b/tests/harness/mod.rs
@@ -12,20 +12,20 @@
 use serde_json::{json, Value};
 
 /// No wait is longer than this.
-pub const LIMIT: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a busy machine may add to a measured time.
-pub const SLACK: Duration = Duration::from_millis(300);
+pub const TIMING_TOLERANCE: Duration = Duration::from_millis(300);
 
-pub fn any_port() -> SocketAddr {
+pub fn ephemeral_address() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
 /// Waits for a condition.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < LIMIT, "waited too long: {what}");
+        assert!(begun.elapsed() < WAIT_TIMEOUT, "waited too long: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -33,14 +33,14 @@
 /// The program, started with a configuration; killed at the end of the test.
 pub struct Router {
     pub child: Child,
-    pub listen: SocketAddr,
-    pub file: std::path::PathBuf,
-    log: Receiver<String>,
-    said: Vec<String>,
-    out: Receiver<String>,
+    pub listen_address: SocketAddr,
+    pub config_file: std::path::PathBuf,
+    log_lines: Receiver<String>,
+    logged_lines: Vec<String>,
+    console_lines: Receiver<String>,
 }
 
-fn lines(from: impl Read + Send + 'static) -> Receiver<String> {
+fn read_lines(from: impl Read + Send + 'static) -> Receiver<String> {
     let (sender, receiver) = channel();
     thread::spawn(move || {
         BufReader::new(from).lines().map_while(Result::ok).try_for_each(|l| sender.send(l))
@@ -50,28 +50,37 @@
 
 impl Router {
     pub fn start(config: &Value) -> Self {
-        let file = tempfile(config);
+        let config_file = write_config_file(config);
         let mut child = Command::new(env!("CARGO_BIN_EXE_quartzspindle"))
-            .arg(&file)
+            .arg(&config_file)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let (log, out) = (lines(child.stderr.take().unwrap()), lines(child.stdout.take().unwrap()));
-        let mut router = Self { child, listen: any_port(), file, log, said: Vec::new(), out };
-        router.listen = router.address("started");
+        let (log_lines, console_lines) =
+            (read_lines(child.stderr.take().unwrap()), read_lines(child.stdout.take().unwrap()));
+        let mut router = Self {
+            child,
+            listen_address: ephemeral_address(),
+            config_file,
+            log_lines,
+            logged_lines: Vec::new(),
+            console_lines,
+        };
+        router.listen_address = router.logged_address("started");
         router
     }
 
     /// Waits for a line of the log that holds a text.
-    pub fn logged(&mut self, text: &str) -> String {
-        if let Some(line) = self.said.iter().find(|l| l.contains(text)) {
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        if let Some(line) = self.logged_lines.iter().find(|l| l.contains(text)) {
             return line.clone();
         }
         loop {
-            let line = self.log.recv_timeout(LIMIT).unwrap_or_else(|_| panic!("not logged: {text}"));
-            self.said.push(line.clone());
+            let line =
+                self.log_lines.recv_timeout(WAIT_TIMEOUT).unwrap_or_else(|_| panic!("not logged: {text}"));
+            self.logged_lines.push(line.clone());
             if line.contains(text) {
                 return line;
             }
@@ -79,8 +88,8 @@
     }
 
     /// The address in such a line.
-    pub fn address(&mut self, text: &str) -> SocketAddr {
-        let line = self.logged(&format!("{text}, "));
+    pub fn logged_address(&mut self, text: &str) -> SocketAddr {
+        let line = self.wait_for_log(&format!("{text}, "));
         let rest = &line[line.find("listen: ").unwrap() + 8..];
         rest.split(',').next().unwrap().trim().parse().unwrap()
     }
@@ -88,14 +97,14 @@
     /// Types a command and returns the first line of its answer.
     pub fn command(&mut self, line: &str) -> String {
         writeln!(self.child.stdin.as_mut().unwrap(), "{line}").unwrap();
-        self.out.recv_timeout(LIMIT).unwrap()
+        self.console_lines.recv_timeout(WAIT_TIMEOUT).unwrap()
     }
 
     /// Replaces the configuration file and asks for it to be read.
     pub fn reload(&mut self, text: &str, logged: &str) {
-        std::fs::write(&self.file, text).unwrap();
+        std::fs::write(&self.config_file, text).unwrap();
         self.signal("-HUP");
-        self.logged(logged);
+        self.wait_for_log(logged);
     }
 
     pub fn signal(&self, name: &str) {
@@ -103,8 +112,8 @@
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
     }
 
-    pub fn caller(&self) -> Caller {
-        Caller::connect(self.listen)
+    pub fn connect_client(&self) -> Client {
+        Client::connect(self.listen_address)
     }
 }
 
@@ -115,7 +124,7 @@
     }
 }
 
-pub fn tempfile(config: &Value) -> std::path::PathBuf {
+pub fn write_config_file(config: &Value) -> std::path::PathBuf {
     static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let file = format!("{}/{}-{count}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
@@ -124,7 +133,7 @@
 }
 
 /// A configuration with exchanges at places 1, 2 and so on.
-pub fn config(exchanges: &[SocketAddr]) -> Value {
+pub fn router_config(exchanges: &[SocketAddr]) -> Value {
     let host = |(i, a): (usize, &SocketAddr)| {
         json!({"host": format!("s-{:08x}", i + 1), "dial": a.to_string(), "site": "east", "class": "std",
             "block": i + 1, "health": "active", "share": 1, "born_ms": 0})
@@ -145,25 +154,25 @@
 
 /// One message of SIP: first line, headers and body.
 #[derive(Debug, Clone)]
-pub struct Sip {
-    pub first: String,
+pub struct SipMessage {
+    pub first_line: String,
     pub head: String,
     pub body: String,
 }
 
-impl Sip {
-    pub fn has(&self, header: &str) -> bool {
+impl SipMessage {
+    pub fn has_header_line(&self, header: &str) -> bool {
         self.head.lines().any(|l| l == header)
     }
 }
 
 /// A caller's connection.
-pub struct Caller(pub BufReader<TcpStream>);
+pub struct Client(pub BufReader<TcpStream>);
 
-impl Caller {
+impl Client {
     pub fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).unwrap();
-        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
 
@@ -171,7 +180,7 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn request(&mut self, method: &str, call: &str, headers: &str, body: &str) {
+    pub fn send_request(&mut self, method: &str, call: &str, headers: &str, body: &str) {
         let length = body.len();
         self.send(&format!(
             "{method} sip:+38612345@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\nCSeq: 1 {method}\r\n\
@@ -179,9 +188,9 @@
         ));
     }
 
-    pub fn invite(&mut self, call: &str, dest: u32, limit_ms: u32) {
+    pub fn send_invite(&mut self, call: &str, dest: u32, limit_ms: u32) {
         let dest = format!("X-Dest: dest:{dest};width:1;via:-1\r\n");
-        self.request(
+        self.send_request(
             "INVITE",
             call,
             &format!("X-Call-Class: voice\r\nX-Ring-Limit: {limit_ms}\r\n{dest}"),
@@ -190,7 +199,7 @@
     }
 
     /// The next message; `None` at the end of the connection or after the time given.
-    pub fn within(&mut self, limit: Duration) -> Option<Sip> {
+    pub fn receive_within(&mut self, limit: Duration) -> Option<SipMessage> {
         self.0.get_ref().set_read_timeout(Some(limit)).unwrap();
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -201,19 +210,19 @@
         let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: ")).unwrap().parse().unwrap();
         let mut body = vec![0; length];
         self.0.read_exact(&mut body).unwrap();
-        let first = head.lines().next().unwrap().to_owned();
-        Some(Sip { first, head, body: String::from_utf8(body).unwrap() })
+        let first_line = head.lines().next().unwrap().to_owned();
+        Some(SipMessage { first_line, head, body: String::from_utf8(body).unwrap() })
     }
 
-    pub fn hear(&mut self) -> Sip {
-        self.within(LIMIT).expect("a message")
+    pub fn receive(&mut self) -> SipMessage {
+        self.receive_within(WAIT_TIMEOUT).expect("a message")
     }
 
     /// Waits until the router passes its test: its exchanges have been reached.
-    pub fn ready(&mut self) {
-        until("ready", || {
-            self.request("OPTIONS", "0", "", "");
-            self.hear().first.contains(" 200 ")
+    pub fn wait_until_ready(&mut self) {
+        wait_until("ready", || {
+            self.send_request("OPTIONS", "0", "", "");
+            self.receive().first_line.contains(" 200 ")
         });
     }
 }
@@ -223,17 +232,17 @@
 /// A booking exchange: it tells its group's state on each connection, and gives the test what it hears.
 pub struct Exchange {
     pub address: SocketAddr,
-    heard: Receiver<(Value, TcpStream, Instant)>,
+    received: Receiver<(Value, TcpStream, Instant)>,
     /// Connections taken so far.
-    pub taken: Arc<Mutex<Vec<TcpStream>>>,
+    pub connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Exchange {
     pub fn start() -> Self {
-        let listener = TcpListener::bind(any_port()).unwrap();
-        let (address, (sender, heard)) = (listener.local_addr().unwrap(), channel());
-        let taken = Arc::new(Mutex::new(Vec::new()));
-        let all = taken.clone();
+        let listener = TcpListener::bind(ephemeral_address()).unwrap();
+        let (address, (sender, received)) = (listener.local_addr().unwrap(), channel());
+        let connections = Arc::new(Mutex::new(Vec::new()));
+        let all = connections.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 // Told before a test gets hold of the connection, so that no two lines are mixed.
@@ -245,7 +254,7 @@
                 thread::spawn(move || Self::serve(&stream, &sender));
             }
         });
-        Self { address, heard, taken }
+        Self { address, received, connections }
     }
 
     fn serve(stream: &TcpStream, sender: &Sender<(Value, TcpStream, Instant)>) {
@@ -258,43 +267,43 @@
     }
 
     /// The next message of a kind, the connection it came on, and when.
-    pub fn hear(&self, verb: &str) -> (Value, TcpStream, Instant) {
-        self.heard_within(verb, LIMIT).unwrap_or_else(|| panic!("no {verb}"))
+    pub fn receive(&self, verb: &str) -> (Value, TcpStream, Instant) {
+        self.receive_within(verb, WAIT_TIMEOUT).unwrap_or_else(|| panic!("no {verb}"))
     }
 
-    pub fn heard_within(&self, verb: &str, limit: Duration) -> Option<(Value, TcpStream, Instant)> {
+    pub fn receive_within(&self, verb: &str, limit: Duration) -> Option<(Value, TcpStream, Instant)> {
         let end = Instant::now() + limit;
         loop {
-            let heard = self.heard.recv_timeout(end.saturating_duration_since(Instant::now())).ok()?;
-            if heard.0["verb"] == verb {
-                return Some(heard);
+            let received = self.received.recv_timeout(end.saturating_duration_since(Instant::now())).ok()?;
+            if received.0["verb"] == verb {
+                return Some(received);
             }
         }
     }
 }
 
 /// Says something as an exchange.
-pub fn say(mut stream: &TcpStream, message: &Value) {
+pub fn send_message(mut stream: &TcpStream, message: &Value) {
     stream.write_all(format!("{message}\n").as_bytes()).unwrap();
 }
 
-pub fn started(stream: &TcpStream, call: &str) {
-    say(stream, &json!({"verb": "STARTED", "tag": call, "opts": {}, "blob": BODY}));
+pub fn send_started(stream: &TcpStream, call: &str) {
+    send_message(stream, &json!({"verb": "STARTED", "tag": call, "opts": {}, "blob": BODY}));
 }
 
-pub fn finish(stream: &TcpStream, call: &str, cause: u32, note: &str) {
-    say(stream, &json!({"verb": "FINISH", "tag": call, "opts": {"note": note}, "rc": cause}));
+pub fn send_finish(stream: &TcpStream, call: &str, cause: u32, note: &str) {
+    send_message(stream, &json!({"verb": "FINISH", "tag": call, "opts": {"note": note}, "rc": cause}));
 }
 
 /// A coordinator's listener, and its address as it stands in a configuration.
-pub fn coordinator() -> (TcpListener, Value) {
-    let listener = TcpListener::bind(any_port()).unwrap();
+pub fn bind_coordinator() -> (TcpListener, Value) {
+    let listener = TcpListener::bind(ephemeral_address()).unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, json!(address))
 }
 
 /// Takes the router's connection and the number of the last event it has.
-pub fn asked(listener: &TcpListener) -> (TcpStream, u64) {
+pub fn accept_coordinator_connection(listener: &TcpListener) -> (TcpStream, u64) {
     let (mut stream, _) = listener.accept().unwrap();
     let mut last = [0; 8];
     stream.read_exact(&mut last).unwrap();
@@ -302,7 +311,7 @@
 }
 
 /// An event with one record: exchange `id` at place 1.
-pub fn frame(number: u64, id: u32, state: u8, at: SocketAddr) -> Vec<u8> {
+pub fn coordinator_frame(number: u64, id: u32, state: u8, at: SocketAddr) -> Vec<u8> {
     let mut frame = vec![0, 0, 0, 36];
     frame.extend(number.to_be_bytes());
     frame.push(2);
@@ -314,8 +323,8 @@
 }
 
 /// A resolver's socket.
-pub fn resolver() -> UdpSocket {
-    let socket = UdpSocket::bind(any_port()).unwrap();
-    socket.set_read_timeout(Some(LIMIT)).unwrap();
+pub fn bind_resolver() -> UdpSocket {
+    let socket = UdpSocket::bind(ephemeral_address()).unwrap();
+    socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     socket
 }
--- a/tests/lost_requests.rs
+++ b/tests/lost_requests.rs
@@ -1,37 +1,37 @@
 //! Requests that a client connection has taken are answered before that connection ends.
 
-mod stand;
+mod harness;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
+use harness::*;
 use rstest::rstest;
 use serde_json::json;
-use stand::*;
 
 /// Final answers by call, until the connection ends or nothing more comes.
-fn final_answers(client: &mut Caller, quiet: Duration) -> BTreeMap<String, Vec<String>> {
+fn final_answers(client: &mut Client, quiet: Duration) -> BTreeMap<String, Vec<String>> {
     let mut answers: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    while let Some(message) = client.within(quiet) {
+    while let Some(message) = client.receive_within(quiet) {
         if let Some(call) = message.head.lines().find_map(|l| l.strip_prefix("Call-ID: ")) {
-            answers.entry(call.to_owned()).or_default().push(message.first);
+            answers.entry(call.to_owned()).or_default().push(message.first_line);
         }
     }
     answers
 }
 
 /// A call that stands, and the router's connection to its exchange.
-fn one_standing(call: &str) -> (Exchange, Router, Caller, TcpStream) {
+fn one_standing(call: &str) -> (Exchange, Router, Client, TcpStream) {
     let exchange = Exchange::start();
-    let router = Router::start(&config(&[exchange.address]));
-    let mut client = router.caller();
-    client.ready();
-    client.invite(call, 1, 3000);
-    let (_, stream, _) = exchange.hear("START");
-    started(&stream, call);
-    assert!(client.hear().first.contains(" 200 "));
+    let router = Router::start(&router_config(&[exchange.address]));
+    let mut client = router.connect_client();
+    client.wait_until_ready();
+    client.send_invite(call, 1, 3000);
+    let (_, stream, _) = exchange.receive("START");
+    send_started(&stream, call);
+    assert!(client.receive().first_line.contains(" 200 "));
     (exchange, router, client, stream)
 }
 
@@ -40,32 +40,32 @@
 #[test]
 fn set_ups_for_a_removed_exchange_after_a_restart_do_not_end_other_requests_on_the_connection() {
     let (first, second) = (Exchange::start(), Exchange::start());
-    let (listener, address) = coordinator();
-    let mut settings = config(&[first.address, second.address]);
+    let (listener, address) = bind_coordinator();
+    let mut settings = router_config(&[first.address, second.address]);
     settings["coordinator"] = address;
     let mut before = Router::start(&settings);
-    before.caller().ready();
-    let (mut events, _) = asked(&listener);
-    let mut removed = frame(2, 2, 2, second.address);
+    before.connect_client().wait_until_ready();
+    let (mut events, _) = accept_coordinator_connection(&listener);
+    let mut removed = coordinator_frame(2, 2, 2, second.address);
     removed[4 + 9 + 14] = 2; // the record's place
     events.write_all(&removed).unwrap();
-    before.logged("health: Gone");
+    before.wait_for_log("health: Gone");
     before.signal("-TERM");
     assert!(before.child.wait().unwrap().success());
 
     settings["known"]["updates"][0]["endpoints"]["hosts"].as_array_mut().unwrap().remove(1);
     settings["known"]["index"] = json!(2);
     let router = Router::start(&settings);
-    let mut client = router.caller();
-    client.ready();
-    client.invite("0000000000000a00", 1, 3000);
-    let (_, stream, _) = first.hear("START");
+    let mut client = router.connect_client();
+    client.wait_until_ready();
+    client.send_invite("0000000000000a00", 1, 3000);
+    let (_, stream, _) = first.receive("START");
     let sent = Instant::now();
     for call in 1..=10 {
-        client.invite(&format!("{:016x}", 0xa00 + call), 2, 962);
+        client.send_invite(&format!("{:016x}", 0xa00 + call), 2, 962);
     }
-    let early = final_answers(&mut client, Duration::from_millis(1200) + SLACK);
-    started(&stream, "0000000000000a00");
+    let early = final_answers(&mut client, Duration::from_millis(1200) + TIMING_TOLERANCE);
+    send_started(&stream, "0000000000000a00");
     let late = final_answers(&mut client, Duration::from_millis(500));
     assert_eq!(late.get("0000000000000a00").map(Vec::len), Some(1), "{early:?} {late:?}");
     assert!(late["0000000000000a00"][0].contains(" 200 "), "{late:?}");
@@ -83,11 +83,11 @@
 fn answers_that_come_in_one_burst_all_reach_their_client() {
     const BURST: usize = 8;
     let exchange = Exchange::start();
-    let router = Router::start(&config(&[exchange.address]));
-    let mut client = router.caller();
-    client.ready();
+    let router = Router::start(&router_config(&[exchange.address]));
+    let mut client = router.connect_client();
+    client.wait_until_ready();
     for call in 0..BURST {
-        client.invite(&format!("{:016x}", 0xb00 + call), 1, 3000);
+        client.send_invite(&format!("{:016x}", 0xb00 + call), 1, 3000);
     }
     // The window toward the exchange opens with its answers, so those that are out are answered first.
     let mut answered = 0;
@@ -95,7 +95,7 @@
     while answered < BURST {
         let mut burst = String::new();
         let mut stream = None;
-        while let Some((start, on, _)) = exchange.heard_within("START", Duration::from_millis(100)) {
+        while let Some((start, on, _)) = exchange.receive_within("START", Duration::from_millis(100)) {
             burst +=
                 &json!({"verb": "STARTED", "tag": start["tag"], "opts": {}, "blob": description}).to_string();
             burst += "\n";
@@ -121,16 +121,16 @@
     #[case] refusal: &str,
 ) {
     let exchange = Exchange::start();
-    let router = Router::start(&config(&[exchange.address]));
-    let mut client = router.caller();
-    client.ready();
-    client.invite("0000000000000c00", 1, 4500);
-    let (_, stream, _) = exchange.hear("START");
+    let router = Router::start(&router_config(&[exchange.address]));
+    let mut client = router.connect_client();
+    client.wait_until_ready();
+    client.send_invite("0000000000000c00", 1, 4500);
+    let (_, stream, _) = exchange.receive("START");
     client.send(bad);
-    let refused = client.within(Duration::from_secs(3)).expect("a refusal within 3 s");
-    assert!(refused.first.contains(refusal), "{refused:?}");
+    let refused = client.receive_within(Duration::from_secs(3)).expect("a refusal within 3 s");
+    assert!(refused.first_line.contains(refusal), "{refused:?}");
     std::thread::sleep(Duration::from_millis(200));
-    started(&stream, "0000000000000c00");
+    send_started(&stream, "0000000000000c00");
     let answers = final_answers(&mut client, Duration::from_millis(500));
     let served = &answers["0000000000000c00"];
     assert!(served.len() == 1 && served[0].contains(" 200 "), "{answers:?}");
@@ -147,15 +147,15 @@
     #[case] kill_after_ms: u64,
 ) {
     let exchange = Exchange::start(); // it never answers
-    let mut settings = config(&[exchange.address]);
+    let mut settings = router_config(&[exchange.address]);
     settings["settings"]["Classes"][0]["DeadlineNs"] = json!(deadline_ms * 1_000_000);
     let mut router = Router::start(&settings);
-    let (mut client, mut busy) = (router.caller(), router.caller());
-    client.ready();
-    client.invite("0000000000000d00", 1, deadline_ms as u32);
-    exchange.hear("START");
+    let (mut client, mut busy) = (router.connect_client(), router.connect_client());
+    client.wait_until_ready();
+    client.send_invite("0000000000000d00", 1, deadline_ms as u32);
+    exchange.receive("START");
     let mut writer = busy.0.get_ref().try_clone().unwrap();
-    let answers = std::thread::spawn(move || (final_answers(&mut busy, LIMIT), Instant::now()));
+    let answers = std::thread::spawn(move || (final_answers(&mut busy, WAIT_TIMEOUT), Instant::now()));
     let killed_at = Instant::now() + Duration::from_millis(kill_after_ms);
     router.signal("-TERM");
     // One client goes on sending on its open connection until the kill, or until it sees the connection end.
@@ -175,8 +175,8 @@
     }
     let _ = router.child.kill();
     let (answers, closed_at) = answers.join().unwrap();
-    let first = client.hear();
-    assert!(first.first.contains(" 503 ") && first.has("X-Hold-Off: 2000"), "{first:?}");
+    let first = client.receive();
+    assert!(first.first_line.contains(" 503 ") && first.has_header_line("X-Hold-Off: 2000"), "{first:?}");
     // What is written within 50 ms of the close has crossed it.
     let crossed = closed_at - Duration::from_millis(50);
     let lost = |(id, at): &&(String, Instant)| *at < crossed && answers.get(id).map(Vec::len) != Some(1);
@@ -192,13 +192,13 @@
     let (exchange, router, mut client, stream) = one_standing("0000000000000e00");
     router.signal("-TERM");
     std::thread::sleep(Duration::from_millis(900));
-    let mut silent = router.caller();
+    let mut silent = router.connect_client();
     silent.send("INVITE sip:1@net SIP/2.0\r\nCall-");
-    assert!(client.within(LIMIT).is_none(), "the idle client is closed");
+    assert!(client.receive_within(WAIT_TIMEOUT).is_none(), "the idle client is closed");
     std::thread::sleep(Duration::from_millis(20));
     let line = json!({"verb": "FINISH", "tag": "0000000000000e00", "opts": {}, "rc": 16});
     let _ = (&stream).write_all(format!("{line}\n").as_bytes());
-    let confirmed = exchange.heard_within("FINISHED", Duration::from_millis(300));
+    let confirmed = exchange.receive_within("FINISHED", Duration::from_millis(300));
     assert!(confirmed.is_none(), "confirmed with no client to tell");
 }
 
@@ -206,27 +206,31 @@
 #[test]
 fn a_release_that_only_silent_clients_were_sent_reaches_the_client_that_comes_later() {
     let (_exchange, router, client, stream) = one_standing("0000000000000f00");
-    let _silent = [router.caller(), router.caller()];
+    let _silent = [router.connect_client(), router.connect_client()];
     drop(client);
     std::thread::sleep(Duration::from_millis(50));
-    finish(&stream, "0000000000000f00", 16, "");
+    send_finish(&stream, "0000000000000f00", 16, "");
     std::thread::sleep(Duration::from_millis(1600));
-    let mut late = router.caller();
-    let released = late.within(Duration::from_millis(6350) + SLACK).expect("a release within 8 s");
-    assert!(released.first.starts_with("BYE ") && released.has("Call-ID: 0000000000000f00"), "{released:?}");
+    let mut late = router.connect_client();
+    let released =
+        late.receive_within(Duration::from_millis(6350) + TIMING_TOLERANCE).expect("a release within 8 s");
+    assert!(
+        released.first_line.starts_with("BYE ") && released.has_header_line("Call-ID: 0000000000000f00"),
+        "{released:?}"
+    );
 }
 
 /// An answer that was ready when its client closed its sending side was dropped.
 #[test]
 fn a_request_right_before_the_client_closes_its_sending_side_is_answered() {
     let exchange = Exchange::start();
-    let router = Router::start(&config(&[exchange.address]));
-    router.caller().ready();
+    let router = Router::start(&router_config(&[exchange.address]));
+    router.connect_client().wait_until_ready();
     for attempt in 0..40 {
-        let mut client = router.caller();
-        client.request("OPTIONS", "0", "", "");
+        let mut client = router.connect_client();
+        client.send_request("OPTIONS", "0", "", "");
         client.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
-        let answer = client.within(LIMIT);
-        assert!(answer.is_some_and(|a| a.first.contains(" 200 ")), "attempt {attempt}");
+        let answer = client.receive_within(WAIT_TIMEOUT);
+        assert!(answer.is_some_and(|a| a.first_line.contains(" 200 ")), "attempt {attempt}");
     }
 }
