--- a/src/bin/quartzspindle-adapter/main.rs
+++ b/src/bin/quartzspindle-adapter/main.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quartzspindle::interface::{Action, Entry, Event};
+use quartzspindle::interface::{Action, DirectoryEntry, Event};
 use quartzspindle::Controller;
 use serde_json::{json, Value};
 
@@ -21,7 +21,7 @@
 struct Host {
     /// Instances by name; `None` after a fault of the module, when it only stays silent.
     instances: BTreeMap<String, Option<Controller>>,
-    lists: BTreeMap<u64, Arc<Vec<Entry>>>,
+    lists: BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
 }
 
 impl Host {
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -47,16 +47,16 @@
     campus: Option<u32>,
 }
 
-pub fn entry(row: Row) -> Result<Entry, String> {
+pub fn entry(row: Row) -> Result<DirectoryEntry, String> {
     let health = match row.health.as_str() {
         "live" => Health::Live,
         "quiescing" => Health::Draining,
         "dead" => Health::Gone,
         other => return Err(format!("unknown Health {other:?}")),
     };
-    Ok(Entry {
+    Ok(DirectoryEntry {
         exchange: ExchangeId(row.exchange),
-        place: Place(row.place_no),
+        node: NodeNumber(row.place_no),
         zone: row.campus.unwrap_or(0),
         health,
         up_since: row.up_since_ns.filter(|t| *t > 0).map(Duration::from_nanos),
@@ -175,32 +175,32 @@
     Duration::from_nanos(value.unwrap_or(0))
 }
 
-fn places(numbers: &[u32]) -> Vec<Place> {
-    numbers.iter().copied().map(Place).collect()
+fn places(numbers: &[u32]) -> Vec<NodeNumber> {
+    numbers.iter().copied().map(NodeNumber).collect()
 }
 
 fn class(index: usize, class: WireClass, domain: &Domain) -> Result<Class, String> {
     let effect = match class.effect.as_deref() {
-        None | Some("safe") => Effect::Safe,
-        Some("unsafe") => Effect::Unsafe,
+        None | Some("safe") => Idempotency::Safe,
+        Some("unsafe") => Idempotency::Unsafe,
         Some("keyed") => {
             let scope = match class.dedup_scope.as_deref() {
-                Some("all") => Scope::All,
-                Some("zone") => Scope::Zone,
-                _ => Scope::Place,
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                _ => DedupScope::Node,
             };
-            Effect::Keyed(scope, ns(class.window_ns))
+            Idempotency::Keyed(scope, ns(class.window_ns))
         }
         Some(other) => return Err(format!("unknown Effect {other:?}")),
     };
     Ok(Class {
-        aim: Duration::from_nanos(class.aim_ns),
+        target_delay: Duration::from_nanos(class.aim_ns),
         deadline: Duration::from_nanos(class.deadline_ns),
-        worth: class.worth.unwrap_or(0.0),
-        late_share: class.late_share.unwrap_or(0.0),
-        effect,
-        width: domain.channels_needed.as_ref().and_then(|w| w.get(index).copied()).unwrap_or(1),
-        holding: ns(domain.class_hold_ns.as_ref().and_then(|h| h.get(index).copied())),
+        value: class.worth.unwrap_or(0.0),
+        late_value_share: class.late_share.unwrap_or(0.0),
+        idempotency: effect,
+        circuits: domain.channels_needed.as_ref().and_then(|w| w.get(index).copied()).unwrap_or(1),
+        mean_holding_time: ns(domain.class_hold_ns.as_ref().and_then(|h| h.get(index).copied())),
         pools: domain
             .skilled_pools
             .as_ref()
@@ -211,14 +211,14 @@
 
 fn gauge(name: &str) -> Gauge {
     match name {
-        "spare" => Gauge::Spare,
-        "total" => Gauge::Total,
-        "rif" => Gauge::InWork,
-        "q" => Gauge::Waiting,
-        "busy" => Gauge::Busy,
-        "lat_ms" => Gauge::WaitMs,
-        "allowed" => Gauge::Allowed,
-        "cut_by" => Gauge::CutBy,
+        "spare" => Gauge::FreeCircuits,
+        "total" => Gauge::TotalCircuits,
+        "rif" => Gauge::InFlight,
+        "q" => Gauge::Queued,
+        "busy" => Gauge::Utilization,
+        "lat_ms" => Gauge::LatencyMs,
+        "allowed" => Gauge::AllowedRate,
+        "cut_by" => Gauge::RequestedReduction,
         _ => Gauge::Unknown,
     }
 }
@@ -227,8 +227,8 @@
     let domain = info.domain;
     let own = domain.own_number.and_then(|n| u32::try_from(n).ok());
     let topology = match (domain.topology.as_deref(), own) {
-        (Some("groups"), _) | (None, None) => Topology::Groups,
-        (Some("meshed") | None, Some(own)) => Topology::Meshed(Place(own)),
+        (Some("groups"), _) | (None, None) => Topology::Pools,
+        (Some("meshed") | None, Some(own)) => Topology::Meshed(NodeNumber(own)),
         (Some(other), _) => return Err(format!("Topology {other:?} without a fitting OwnNumber")),
     };
     let classes = info.classes.into_iter().enumerate();
@@ -238,38 +238,38 @@
     Ok(Settings {
         classes,
         tenants: tenants.map(|t| Tenant { quota_per_s: t.quota_per_s.unwrap_or(0.0) }).collect(),
-        over_share_worth: info.over_share_worth.unwrap_or(0.0),
+        over_quota_value_share: info.over_share_worth.unwrap_or(0.0),
         fleet_size: info.fleet_size.unwrap_or(0),
-        me: info.me.unwrap_or(0),
+        controller_number: info.me.unwrap_or(0),
         topology,
-        guard: ns(domain.guard_ns),
-        resend: ns(domain.resend_ns),
-        contract: Contract {
+        guard_time: ns(domain.guard_ns),
+        resend_interval: ns(domain.resend_ns),
+        rules: RuleSettings {
             drain_grace: ns(contract.drain_grace_ns),
-            cold_from: contract.cold_from.unwrap_or(0.0),
-            cold: ns(contract.cold_ns),
-            fall_multiple: contract.fall_multiple.unwrap_or(0.0),
-            fall: ns(contract.fall_ns),
-            ask_within: ns(contract.ask_within_ns),
+            cold_capacity_share: contract.cold_from.unwrap_or(0.0),
+            warm_up_time: ns(contract.cold_ns),
+            overload_multiple: contract.fall_multiple.unwrap_or(0.0),
+            overload_window: ns(contract.fall_ns),
+            max_poll_interval: ns(contract.ask_within_ns),
         },
-        limits: Limits {
+        limits: PolicyLimits {
             max_attempts: limits.max_attempts.unwrap_or(0),
-            cancelling: limits.cancelling.unwrap_or(false),
-            probes: limits.probes.unwrap_or(false),
-            peers: limits.peers.unwrap_or(false),
-            retry_after: limits.retry_after.unwrap_or(false),
+            cancel_allowed: limits.cancelling.unwrap_or(false),
+            probes_allowed: limits.probes.unwrap_or(false),
+            peer_messages_allowed: limits.peers.unwrap_or(false),
+            retry_after_allowed: limits.retry_after.unwrap_or(false),
             max_retry_after: ns(limits.max_retry_after_ns),
         },
         gauges: info.stats.names.unwrap_or_default().iter().map(|n| gauge(n)).collect(),
         penalties: Penalties {
-            late_fail: prices.late_fail.unwrap_or(0.0),
-            waste: prices.waste.unwrap_or(0.0),
+            late_failure: prices.late_fail.unwrap_or(0.0),
+            wasted_work: prices.waste.unwrap_or(0.0),
             probe: prices.probe.unwrap_or(0.0),
-            peer: prices.peer.unwrap_or(0.0),
+            peer_message: prices.peer.unwrap_or(0.0),
         },
-        registry_asks: info.registry_mode.as_deref() == Some("ask"),
-        marks_retry: info.clients.marks_retry.unwrap_or(false),
-        advice: domain.advice.unwrap_or(false),
+        registry_polled: info.registry_mode.as_deref() == Some("ask"),
+        redials_flagged: info.clients.marks_retry.unwrap_or(false),
+        has_route_advice: domain.advice.unwrap_or(false),
         tick: ns(info.tick_ns),
     })
 }
@@ -333,111 +333,115 @@
     values.unwrap_or_default().into_iter().map(|v| v.unwrap_or(-1.0)).collect()
 }
 
-fn status(text: &str) -> Result<Status, String> {
+fn status(text: &str) -> Result<AttemptStatus, String> {
     Ok(match text {
-        "S" => Status::Ended,
-        "E" => Status::Error,
-        "F" => Status::Full,
-        "T" => Status::TimedOut,
-        "C" => Status::Unreachable,
-        "R" => Status::Reset,
-        "X" => Status::Cancelled,
-        "N" => Status::Moot,
+        "S" => AttemptStatus::Ended,
+        "E" => AttemptStatus::Error,
+        "F" => AttemptStatus::Full,
+        "T" => AttemptStatus::TimedOut,
+        "C" => AttemptStatus::Unreachable,
+        "R" => AttemptStatus::Reset,
+        "X" => AttemptStatus::Cancelled,
+        "N" => AttemptStatus::Moot,
         other => return Err(format!("unknown Status {other:?}")),
     })
 }
 
-fn cause(why: u64) -> Option<Cause> {
+fn cause(why: u64) -> Option<FailureCause> {
     let wait = (why >= 16).then(|| Duration::from_millis(why / 16));
     match why {
-        1 => Some(Cause::NoCircuit),
-        2 => Some(Cause::TurnedBack),
-        18 => Some(Cause::TurnedBackFull),
-        4 => Some(Cause::LinesBusy),
-        w if w % 16 == 3 => Some(Cause::ProcessorFull(wait)),
+        1 => Some(FailureCause::NoCircuit),
+        2 => Some(FailureCause::CrankedBack),
+        18 => Some(FailureCause::DestinationFull),
+        4 => Some(FailureCause::UserBusy),
+        w if w % 16 == 3 => Some(FailureCause::ProcessorFull(wait)),
         _ => None,
     }
 }
 
-fn place(number: Option<f64>) -> Option<Place> {
-    number.filter(|n| *n >= 0.0 && *n <= f64::from(u32::MAX)).map(|n| Place(n as u32))
+fn place(number: Option<f64>) -> Option<NodeNumber> {
+    number.filter(|n| *n >= 0.0 && *n <= f64::from(u32::MAX)).map(|n| NodeNumber(n as u32))
 }
 
 fn read<T: serde::de::DeserializeOwned>(value: Value) -> Result<T, String> {
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
-pub fn event(op: &str, value: Value, lists: &BTreeMap<u64, Arc<Vec<Entry>>>) -> Result<Event, String> {
+pub fn event(
+    op: &str,
+    value: Value,
+    lists: &BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
+) -> Result<Event, String> {
     Ok(match op {
         "Announce" => {
             let news: Announce = read(value)?;
             let kind = match news.mode.as_str() {
-                "diff" => ListKind::Changes,
-                "snapshot" => ListKind::Full,
-                "disk" => ListKind::Stored,
-                "error" => ListKind::Failed,
+                "diff" => UpdateKind::Changes,
+                "snapshot" => UpdateKind::Full,
+                "disk" => UpdateKind::Stored,
+                "error" => UpdateKind::Failed,
                 other => return Err(format!("unknown Mode {other:?}")),
             };
             let entries = match (kind, news.list.and_then(|n| lists.get(&n))) {
-                (ListKind::Failed, _) => Arc::default(),
+                (UpdateKind::Failed, _) => Arc::default(),
                 (_, Some(list)) => Arc::clone(list),
                 (_, None) => return Err(format!("Announce of a list never given: {:?}", news.list)),
             };
-            Event::Directory { kind, entries }
+            Event::DirectoryUpdate { kind, entries }
         }
         "Query" => {
             let q: Query = read(value)?;
-            Event::Offered(Offer {
+            Event::CallOffered(OfferedCall {
                 call: CallId(q.call),
                 class: q.kind,
                 tenant: q.org.unwrap_or(0),
-                number: q.route_key.unwrap_or_default(),
+                called_number: q.route_key.unwrap_or_default(),
                 remaining: Duration::from_nanos(q.remaining_ns),
-                dest: place(q.called_node).ok_or("no CalledNode")?,
-                width: q.units.filter(|u| *u >= 0.0).map(|u| u as u32),
+                destination: place(q.called_node).ok_or("no CalledNode")?,
+                circuits: q.units.filter(|u| *u >= 0.0).map(|u| u as u32),
                 via: place(q.hop),
-                again: q.again_by_client.unwrap_or(false),
-                transit: q.in_transit.unwrap_or(false),
-                reconnect: q.reconnect.unwrap_or(false),
+                flagged_as_redial: q.again_by_client.unwrap_or(false),
+                is_transit: q.in_transit.unwrap_or(false),
+                is_reconnect: q.reconnect.unwrap_or(false),
             })
         }
         "ReportBack" => {
             let r: ReportBack = read(value)?;
-            Event::Ended(Outcome {
+            Event::AttemptEnded(Outcome {
                 call: CallId(r.call),
-                seq: r.seq_no,
+                attempt_number: r.seq_no,
                 exchange: ExchangeId(r.exchange),
                 status: status(&r.status)?,
-                took: Duration::from_nanos(r.time_taken_ns),
-                complete: r.complete,
-                cause: r.why.and_then(cause),
-                report: report(r.gauge),
+                elapsed: Duration::from_nanos(r.time_taken_ns),
+                call_ended: r.complete,
+                failure_cause: r.why.and_then(cause),
+                load_report: report(r.gauge),
             })
         }
         "Sampled" => {
             let s: Sampled = read(value)?;
-            Event::Sampled {
+            Event::LoadReported {
                 exchange: ExchangeId(s.exchange),
-                ok: s.status == "S",
-                took: Duration::from_nanos(s.time_taken_ns),
-                report: report(s.gauge),
+                probe_answered: s.status == "S",
+                elapsed: Duration::from_nanos(s.time_taken_ns),
+                load_report: report(s.gauge),
             }
         }
         "Accepted" => {
             let a: Accepted = read(value)?;
-            Event::Stands {
+            Event::CallEstablished {
                 call: CallId(a.call),
-                seq: a.seq_no,
+                attempt_number: a.seq_no,
                 exchange: ExchangeId(a.exchange),
-                took: Duration::from_nanos(a.time_taken_ns),
+                elapsed: Duration::from_nanos(a.time_taken_ns),
             }
         }
-        "Expired" => Event::CallerGone(CallId(text(&value, "Call")?.into())),
-        "PeerData" => Event::Peer {
+        "Expired" => Event::CallAbandoned(CallId(text(&value, "Call")?.into())),
+        "PeerData" => Event::PeerMessage {
             from: number(&value, "By")?.try_into().map_err(|_| "By out of range")?,
             payload: text(&value, "Payload")?.to_owned(),
         },
-        "Fired" => Event::Timer(Token(number(&value, "Token")?)),
+        "Fired" => Event::TimerExpired(TimerToken(number(&value, "Token")?)),
         other => return Err(format!("no translation for {other:?}")),
     })
 }
@@ -456,18 +460,20 @@
 
 pub fn order(name: &str, action: Action) -> Value {
     let mut order = match action {
-        Action::Send { call, to, until } => {
+        Action::SendSetUp { call, exchange: to, give_up_at: until } => {
             json!({"op": "Transmit", "Call": *call.0, "Exchange": *to.0, "UntilNs": nanos(until)})
         }
-        Action::Refuse { call, stay_away } => {
+        Action::Refuse { call, hold_off: stay_away } => {
             json!({"op": "OverloadReply", "Call": *call.0, "CoolDownNs": stay_away.map(nanos)})
         }
         Action::Fail(call) => json!({"op": "Lose", "Call": *call.0}),
-        Action::Cancel { call, seq } => json!({"op": "Retract", "Call": *call.0, "SeqNo": seq}),
-        Action::Timer { after, token } => json!({"op": "Sleep", "InNs": nanos(after), "Token": token.0}),
+        Action::Cancel { call, attempt_number: seq } => {
+            json!({"op": "Retract", "Call": *call.0, "SeqNo": seq})
+        }
+        Action::StartTimer { after, token } => json!({"op": "Sleep", "InNs": nanos(after), "Token": token.0}),
         Action::Probe(exchange) => json!({"op": "Check", "Exchange": *exchange.0}),
-        Action::TellAll(payload) => json!({"op": "Share", "Dst": "*", "Payload": payload}),
-        Action::Watch => json!({"op": "Track", "Enable": true}),
+        Action::Broadcast(payload) => json!({"op": "Share", "Dst": "*", "Payload": payload}),
+        Action::Subscribe => json!({"op": "Track", "Enable": true}),
         Action::Log(line) => json!({"op": "Trace", "Line": line}),
     };
     order["SoftswitchId"] = Value::from(name);
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -11,7 +11,8 @@
 use super::exchanges::Exchanges;
 use super::timers::Timers;
 use crate::interface::{
-    Action, CallId, Cause, Entry, Event, ExchangeId, ListKind, Offer, Outcome, Status, Token,
+    Action, AttemptStatus, CallId, DirectoryEntry, Event, ExchangeId, FailureCause, OfferedCall, Outcome,
+    TimerToken, UpdateKind,
 };
 use crate::Controller;
 
@@ -26,7 +27,7 @@
     /// Where the answer goes.
     pub origin: Origin,
     /// What the decision module is told.
-    pub offer: Offer,
+    pub offer: OfferedCall,
     /// Passed on as it is.
     pub description: Arc<str>,
 }
@@ -39,9 +40,9 @@
     /// The attempt, or the call that stood, has ended.
     Ended {
         /// How.
-        status: Status,
+        status: AttemptStatus,
         /// Why, where told.
-        cause: Option<Cause>,
+        cause: Option<FailureCause>,
         /// Load report.
         report: Vec<f64>,
     },
@@ -116,7 +117,7 @@
 
 #[derive(Debug)]
 enum Due {
-    Module(Token),
+    Module(TimerToken),
     /// The attempt with this number is to be given up.
     Attempt(CallId, u32),
     /// The caller gives up.
@@ -184,10 +185,10 @@
     }
 
     /// News of the list.
-    pub fn directory(&mut self, now: Duration, kind: ListKind, entries: Vec<Entry>) {
+    pub fn directory(&mut self, now: Duration, kind: UpdateKind, entries: Vec<DirectoryEntry>) {
         self.at(now);
         let gone = self.exchanges.apply(kind, &entries);
-        self.events.push_back(Event::Directory { kind, entries: Arc::new(entries) });
+        self.events.push_back(Event::DirectoryUpdate { kind, entries: Arc::new(entries) });
         self.run();
         // Guards against calls left standing for good: a process that is gone can't release its own. One
         // that has started anew does, on the next connection; what stands there may be new already.
@@ -209,7 +210,7 @@
             self.calls.open.iter().filter(|(_, c)| at(c)).map(|(id, _)| id.clone()).collect();
         cut.sort();
         for id in cut {
-            self.reply(now, exchange, &id, ended(Status::Reset));
+            self.reply(now, exchange, &id, ended(AttemptStatus::Reset));
         }
     }
 
@@ -229,7 +230,7 @@
         let call = Call {
             origin: request.origin,
             class: offer.class,
-            number: offer.number.clone(),
+            number: offer.called_number.clone(),
             description: request.description,
             deadline,
             attempts: 0,
@@ -237,7 +238,7 @@
             stands: false,
         };
         self.calls.open.insert(id, call);
-        self.events.push_back(Event::Offered(offer));
+        self.events.push_back(Event::CallOffered(offer));
         self.run();
     }
 
@@ -257,10 +258,10 @@
         }
         let Some(call) = call else { return };
         if !call.stands {
-            self.events.push_back(Event::CallerGone(id.clone()));
+            self.events.push_back(Event::CallAbandoned(id.clone()));
         }
         if let Some(attempt) = attempt {
-            self.note_end(id, &attempt, Status::Cancelled, None, Vec::new(), true);
+            self.note_end(id, &attempt, AttemptStatus::Cancelled, None, Vec::new(), true);
         }
         self.run();
     }
@@ -280,7 +281,12 @@
                 self.effects.push(Effect::Answer { origin, call: id.clone(), description });
                 let took = self.now.saturating_sub(attempt.at);
                 let (call, exchange) = (id.clone(), attempt.exchange);
-                self.events.push_back(Event::Stands { call, seq: attempt.seq, exchange, took });
+                self.events.push_back(Event::CallEstablished {
+                    call,
+                    attempt_number: attempt.seq,
+                    exchange,
+                    elapsed: took,
+                });
             }
             (None, Reply::Stands(_)) => {
                 // Guards against circuits held for nobody: the set-up was given up while this answer was
@@ -293,7 +299,7 @@
                 let stood = call.stands;
                 if stood {
                     let origin = Some(call.origin);
-                    let cause = if status == Status::Ended { CLEARED } else { CUT };
+                    let cause = if status == AttemptStatus::Ended { CLEARED } else { CUT };
                     self.effects.push(Effect::Release { origin, call: id.clone(), cause });
                     self.calls.end(id, self.now);
                 }
@@ -305,7 +311,7 @@
                 if !known {
                     // It stood before this router's start.
                     self.calls.remember(id, self.now);
-                    let cause = if status == Status::Ended { CLEARED } else { CUT };
+                    let cause = if status == AttemptStatus::Ended { CLEARED } else { CUT };
                     self.effects.push(Effect::Release { origin: None, call: id.clone(), cause });
                 }
             }
@@ -323,7 +329,7 @@
     /// A message from another controller.
     pub fn peer(&mut self, now: Duration, from: u32, payload: String) {
         self.at(now);
-        self.events.push_back(Event::Peer { from, payload });
+        self.events.push_back(Event::PeerMessage { from, payload });
         self.run();
     }
 
@@ -332,7 +338,7 @@
         self.at(now);
         while let Some(due) = self.timers.take(self.now) {
             match due {
-                Due::Module(token) => self.events.push_back(Event::Timer(token)),
+                Due::Module(token) => self.events.push_back(Event::TimerExpired(token)),
                 Due::Attempt(id, seq) => self.time_out(&id, seq),
                 Due::Deadline(id) => self.overdue(&id),
             }
@@ -356,7 +362,7 @@
         let Some(call) = self.calls.open.get_mut(id).filter(|c| !c.stands) else { return };
         let Some(attempt) = call.out.take_if(|a| a.seq == seq) else { return };
         self.give_up(id, &attempt);
-        self.note_end(id, &attempt, Status::TimedOut, None, Vec::new(), false);
+        self.note_end(id, &attempt, AttemptStatus::TimedOut, None, Vec::new(), false);
     }
 
     /// Guards rule 1 whatever the module does: a request whose time is up is answered now.
@@ -369,7 +375,7 @@
             self.give_up(id, attempt);
         }
         self.effects.push(Effect::Fail { origin: call.origin, call: id.clone() });
-        self.events.push_back(Event::CallerGone(id.clone()));
+        self.events.push_back(Event::CallAbandoned(id.clone()));
     }
 
     fn give_up(&mut self, id: &CallId, attempt: &Attempt) {
@@ -381,27 +387,27 @@
         &mut self,
         id: &CallId,
         attempt: &Attempt,
-        status: Status,
-        cause: Option<Cause>,
+        status: AttemptStatus,
+        cause: Option<FailureCause>,
         report: Vec<f64>,
         complete: bool,
     ) {
-        self.events.push_back(Event::Ended(Outcome {
+        self.events.push_back(Event::AttemptEnded(Outcome {
             call: id.clone(),
-            seq: attempt.seq,
+            attempt_number: attempt.seq,
             exchange: attempt.exchange.clone(),
             status,
-            took: self.now.saturating_sub(attempt.at),
-            complete,
-            cause,
-            report,
+            elapsed: self.now.saturating_sub(attempt.at),
+            call_ended: complete,
+            failure_cause: cause,
+            load_report: report,
         }));
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { call, to, until } => self.send(&call, to, until),
-            Action::Refuse { call, stay_away } => {
+            Action::SendSetUp { call, exchange: to, give_up_at: until } => self.send(&call, to, until),
+            Action::Refuse { call, hold_off: stay_away } => {
                 if let Some(Call { origin, .. }) = self.answerable(&call) {
                     self.effects.push(Effect::Refuse { origin, call, stay_away });
                 }
@@ -411,17 +417,17 @@
                     self.effects.push(Effect::Fail { origin, call });
                 }
             }
-            Action::Cancel { call, seq } => {
+            Action::Cancel { call, attempt_number: seq } => {
                 let open = self.calls.open.get_mut(&call).filter(|c| !c.stands);
                 let Some(attempt) = open.and_then(|c| c.out.take_if(|a| a.seq == seq)) else { return };
                 self.give_up(&call, &attempt);
-                self.note_end(&call, &attempt, Status::Cancelled, None, Vec::new(), false);
+                self.note_end(&call, &attempt, AttemptStatus::Cancelled, None, Vec::new(), false);
             }
-            Action::Timer { after, token } => self.timers.set(self.now + after, Due::Module(token)),
-            Action::TellAll(text) => self.effects.push(Effect::TellAll(text)),
+            Action::StartTimer { after, token } => self.timers.set(self.now + after, Due::Module(token)),
+            Action::Broadcast(text) => self.effects.push(Effect::TellAll(text)),
             Action::Log(line) => self.effects.push(Effect::Log(line)),
             // The list is pushed here, and exchanges are never probed.
-            Action::Watch | Action::Probe(_) => {}
+            Action::Subscribe | Action::Probe(_) => {}
         }
     }
 
@@ -442,7 +448,7 @@
         let attempt = Attempt { exchange: exchange.clone(), seq: call.attempts, at: self.now };
         call.attempts += 1;
         if !known || call.out.is_some() || call.stands || until <= self.now {
-            return self.note_end(id, &attempt, Status::Moot, None, Vec::new(), false);
+            return self.note_end(id, &attempt, AttemptStatus::Moot, None, Vec::new(), false);
         }
         self.timers.set(until, Due::Attempt(id.clone(), attempt.seq));
         call.out = Some(attempt);
@@ -458,10 +464,15 @@
 }
 
 /// An end with nothing more told.
-pub fn ended(status: Status) -> Reply {
+pub fn ended(status: AttemptStatus) -> Reply {
     Reply::Ended { status, cause: None, report: Vec::new() }
 }
 
 fn sampled(exchange: &ExchangeId, report: Vec<f64>) -> Event {
-    Event::Sampled { exchange: exchange.clone(), ok: true, took: Duration::ZERO, report }
+    Event::LoadReported {
+        exchange: exchange.clone(),
+        probe_answered: true,
+        elapsed: Duration::ZERO,
+        load_report: report,
+    }
 }
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{Entry, ExchangeId, Health, ListKind, Place, Settings, Topology};
+use crate::interface::{DirectoryEntry, ExchangeId, Health, NodeNumber, Settings, Topology, UpdateKind};
 
 /// The exchanges that are listed, with their last lines.
 #[derive(Debug, Default)]
 pub struct Exchanges {
-    lines: BTreeMap<ExchangeId, Entry>,
+    lines: BTreeMap<ExchangeId, DirectoryEntry>,
     /// Every place that was ever listed or that the settings name; they are few, however often their exchanges
     /// change.
-    places: BTreeSet<Place>,
+    places: BTreeSet<NodeNumber>,
     /// Places under this number belong to the deployment, listed or not.
     numbered_below: u32,
 }
@@ -26,14 +26,14 @@
     }
 
     /// Applies news; returns the exchanges that are gone with it.
-    pub fn apply(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<ExchangeId> {
-        let whole = matches!(kind, ListKind::Full | ListKind::Stored);
+    pub fn apply(&mut self, kind: UpdateKind, entries: &[DirectoryEntry]) -> Vec<ExchangeId> {
+        let whole = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         let listed = |id: &ExchangeId| entries.iter().any(|e| e.exchange == *id);
         let before: Vec<ExchangeId> = self.lines.keys().cloned().collect();
         // Guards against growth for good: exchanges come under ever new ids, and those that go are dropped.
         self.lines.retain(|id, _| !whole || listed(id));
         for entry in entries {
-            self.places.insert(entry.place);
+            self.places.insert(entry.node);
             if entry.health == Health::Gone {
                 self.lines.remove(&entry.exchange);
             } else {
@@ -44,12 +44,12 @@
     }
 
     /// All lines.
-    pub fn lines(&self) -> impl Iterator<Item = &Entry> {
+    pub fn lines(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.lines.values()
     }
 
     /// Whether a place is one that calls can go to, now or when its exchange is back.
-    pub fn serves(&self, place: Place) -> bool {
+    pub fn serves(&self, place: NodeNumber) -> bool {
         place.0 < self.numbered_below || self.places.contains(&place)
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -16,53 +16,53 @@
 
 /// Number of an exchange or pool in the network; two machines may hold one during a replacement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place(pub u32);
+pub struct NodeNumber(pub u32);
 
 /// A timer's name, picked by the module.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Token(pub u64);
+pub struct TimerToken(pub u64);
 
 /// Whether a set-up may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of set-ups does no harm.
     Safe,
     /// Repeats are discarded by the exchanges of one scope within a window.
-    Keyed(Scope, Duration),
+    Keyed(DedupScope, Duration),
     /// Only a set-up proven never to have run may be repeated.
     Unsafe,
 }
 
 /// Exchanges that know of each other's keyed set-ups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum DedupScope {
     /// All exchanges.
     All,
     /// Those of one zone.
     Zone,
     /// Those of one place.
-    Place,
+    Node,
 }
 
 /// A class of calls.
 #[derive(Debug, Clone)]
 pub struct Class {
     /// Wanted to stand within this.
-    pub aim: Duration,
+    pub target_delay: Duration,
     /// Given up by the caller after this, all tries together.
     pub deadline: Duration,
     /// What a call that stands in time is worth.
-    pub worth: f64,
+    pub value: f64,
     /// Share of the worth earned between aim and deadline.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// Whether a set-up may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Circuits seized on each group.
-    pub width: u32,
+    pub circuits: u32,
     /// Mean holding time.
-    pub holding: Duration,
+    pub mean_holding_time: Duration,
     /// With pools: where the class may go; empty means anywhere.
-    pub pools: Vec<Place>,
+    pub pools: Vec<NodeNumber>,
 }
 
 /// A customer with a share of the network.
@@ -76,41 +76,41 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topology {
     /// Circuit groups between exchanges; the controller belongs to the exchange named.
-    Meshed(Place),
+    Meshed(NodeNumber),
     /// Pools of agents shared by all controllers; no transit.
-    Groups,
+    Pools,
 }
 
 /// The figures of the five rules.
 #[derive(Debug, Clone, Default)]
-pub struct Contract {
+pub struct RuleSettings {
     /// Time from being told of a drain until sends must have stopped.
     pub drain_grace: Duration,
     /// Least share of its capacity that a freshly started exchange has.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// A started exchange is warm after this.
-    pub cold: Duration,
+    pub warm_up_time: Duration,
     /// A cold exchange falls when sent this many times what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall: Duration,
+    pub overload_window: Duration,
     /// Where the registry is asked: longest time between questions.
-    pub ask_within: Duration,
+    pub max_poll_interval: Duration,
 }
 
 /// What a controller may do.
 #[derive(Debug, Clone, Default)]
-pub struct Limits {
+pub struct PolicyLimits {
     /// Attempts for one call.
     pub max_attempts: u32,
     /// An attempt may be called off.
-    pub cancelling: bool,
+    pub cancel_allowed: bool,
     /// Exchanges may be probed.
-    pub probes: bool,
+    pub probes_allowed: bool,
     /// Messages to other controllers are allowed.
-    pub peers: bool,
+    pub peer_messages_allowed: bool,
     /// Callers are told how long to stay away.
-    pub retry_after: bool,
+    pub retry_after_allowed: bool,
     /// The longest such time that callers follow.
     pub max_retry_after: Duration,
 }
@@ -119,21 +119,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gauge {
     /// Free circuits (agents) toward the exchange.
-    Spare,
+    FreeCircuits,
     /// Size of the group (pool).
-    Total,
+    TotalCircuits,
     /// Messages in work at the processor.
-    InWork,
+    InFlight,
     /// Messages waiting there.
-    Waiting,
+    Queued,
     /// Share of the processor occupied.
-    Busy,
+    Utilization,
     /// Wait at the processor in milliseconds.
-    WaitMs,
+    LatencyMs,
     /// New set-ups a second that it can take from all senders.
-    Allowed,
+    AllowedRate,
     /// Share of new set-ups that each sender is asked to hold back.
-    CutBy,
+    RequestedReduction,
     /// A figure this version does not know.
     Unknown,
 }
@@ -142,13 +142,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct Penalties {
     /// Worth that ended unserved after its aim.
-    pub late_fail: f64,
+    pub late_failure: f64,
     /// Processor work without a set-up.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// A probe for each first try.
     pub probe: f64,
     /// 256 bytes to a peer for each first try.
-    pub peer: f64,
+    pub peer_message: f64,
 }
 
 /// All that a controller is told at its start.
@@ -159,31 +159,31 @@
     /// Tenants, by their number; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a call over its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_value_share: f64,
     /// Controllers in the network.
     pub fleet_size: u32,
     /// Own number among the controllers.
-    pub me: u32,
+    pub controller_number: u32,
     /// How exchanges are connected.
     pub topology: Topology,
     /// After a time-out, cut or cancel: time before the call may be sent again.
-    pub guard: Duration,
+    pub guard_time: Duration,
     /// A waiting set-up is repeated after this, at doubling gaps; zero: never.
-    pub resend: Duration,
+    pub resend_interval: Duration,
     /// The five rules' figures.
-    pub contract: Contract,
+    pub rules: RuleSettings,
     /// What is permitted.
-    pub limits: Limits,
+    pub limits: PolicyLimits,
     /// Load reports: which figure stands where.
     pub gauges: Vec<Gauge>,
     /// Prices.
     pub penalties: Penalties,
     /// The registry sends only what it is asked for.
-    pub registry_asks: bool,
+    pub registry_polled: bool,
     /// Callers flag their repeats.
-    pub marks_retry: bool,
+    pub redials_flagged: bool,
     /// Calls bring a centre's advice.
-    pub advice: bool,
+    pub has_route_advice: bool,
     /// The clock's step: events are handled no more often.
     pub tick: Duration,
 }
@@ -201,11 +201,11 @@
 
 /// One line of the directory.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct DirectoryEntry {
     /// The machine.
     pub exchange: ExchangeId,
     /// Whose place it holds.
-    pub place: Place,
+    pub node: NodeNumber,
     /// Its zone.
     pub zone: u32,
     /// Its state.
@@ -216,7 +216,7 @@
 
 /// How a directory event is to be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum UpdateKind {
     /// Changed lines only.
     Changes,
     /// The complete list.
@@ -229,7 +229,7 @@
 
 /// A call handed to the controller.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct OfferedCall {
     /// Its id.
     pub call: CallId,
     /// Class number.
@@ -237,26 +237,26 @@
     /// Tenant number.
     pub tenant: usize,
     /// Number called.
-    pub number: Arc<str>,
+    pub called_number: Arc<str>,
     /// Time until the caller gives up this try.
     pub remaining: Duration,
     /// Destination (pool of first choice).
-    pub dest: Place,
+    pub destination: NodeNumber,
     /// Circuits it seizes; `None`: as its class.
-    pub width: Option<u32>,
+    pub circuits: Option<u32>,
     /// The centre's advice, or for a call in transit where it comes from.
-    pub via: Option<Place>,
+    pub via: Option<NodeNumber>,
     /// A caller's repeat, flagged.
-    pub again: bool,
+    pub flagged_as_redial: bool,
     /// In transit: on to its destination or back.
-    pub transit: bool,
+    pub is_transit: bool,
     /// It was cut and comes again.
-    pub reconnect: bool,
+    pub is_reconnect: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     /// The call has come to its end.
     Ended,
     /// Lines engaged or a signalling fault.
@@ -277,17 +277,17 @@
 
 /// Why an attempt failed, where told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureCause {
     /// No circuit or agent.
     NoCircuit,
     /// The tandem sent it back.
-    TurnedBack,
+    CrankedBack,
     /// The tandem sent it back: the processor after it was full.
-    TurnedBackFull,
+    DestinationFull,
     /// The processor was full; with a wait where told.
     ProcessorFull(Option<Duration>),
     /// All lines of the number are busy.
-    LinesBusy,
+    UserBusy,
 }
 
 /// The end of an attempt.
@@ -296,88 +296,88 @@
     /// Its call.
     pub call: CallId,
     /// Number of the attempt.
-    pub seq: u32,
+    pub attempt_number: u32,
     /// Where it was sent.
     pub exchange: ExchangeId,
     /// How it ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// Time since the send.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// The call is over.
-    pub complete: bool,
+    pub call_ended: bool,
     /// Why, where told.
-    pub cause: Option<Cause>,
+    pub failure_cause: Option<FailureCause>,
     /// Load report.
-    pub report: Vec<f64>,
+    pub load_report: Vec<f64>,
 }
 
 /// What happens to a controller.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// News of the directory.
-    Directory {
+    DirectoryUpdate {
         /// How to read the entries.
-        kind: ListKind,
+        kind: UpdateKind,
         /// The lines.
-        entries: Arc<Vec<Entry>>,
+        entries: Arc<Vec<DirectoryEntry>>,
     },
     /// A call is handed over.
-    Offered(Offer),
+    CallOffered(OfferedCall),
     /// A call stands.
-    Stands {
+    CallEstablished {
         /// The call.
         call: CallId,
         /// Number of the attempt.
-        seq: u32,
+        attempt_number: u32,
         /// Where it was sent.
         exchange: ExchangeId,
         /// Time since the send.
-        took: Duration,
+        elapsed: Duration,
     },
     /// An attempt ended.
-    Ended(Outcome),
+    AttemptEnded(Outcome),
     /// A probe's answer, or the own circuits toward an exchange changed.
-    Sampled {
+    LoadReported {
         /// Which exchange.
         exchange: ExchangeId,
         /// The probe was answered.
-        ok: bool,
+        probe_answered: bool,
         /// Time since the probe; zero when unasked.
-        took: Duration,
+        elapsed: Duration,
         /// Load report.
-        report: Vec<f64>,
+        load_report: Vec<f64>,
     },
     /// The caller has gone.
-    CallerGone(CallId),
+    CallAbandoned(CallId),
     /// A message from another controller.
-    Peer {
+    PeerMessage {
         /// Sender.
         from: u32,
         /// Its bytes.
         payload: String,
     },
     /// A timer is due.
-    Timer(Token),
+    TimerExpired(TimerToken),
 }
 
 /// What a controller does.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start a set-up.
-    Send {
+    SendSetUp {
         /// The call.
         call: CallId,
         /// The machine it goes to.
-        to: ExchangeId,
+        exchange: ExchangeId,
         /// Clock time to give it up.
-        until: Duration,
+        give_up_at: Duration,
     },
     /// Final answer: turned away.
     Refuse {
         /// The call.
         call: CallId,
         /// How long the caller should stay away, if told.
-        stay_away: Option<Duration>,
+        hold_off: Option<Duration>,
     },
     /// Final answer: failed.
     Fail(CallId),
@@ -386,21 +386,21 @@
         /// The call.
         call: CallId,
         /// Number of the attempt.
-        seq: u32,
+        attempt_number: u32,
     },
     /// Wake me.
-    Timer {
+    StartTimer {
         /// After this time.
         after: Duration,
         /// With this token.
-        token: Token,
+        token: TimerToken,
     },
     /// Probe a machine.
     Probe(ExchangeId),
     /// Message to all other controllers.
-    TellAll(String),
+    Broadcast(String),
     /// Subscribe to the directory.
-    Watch,
+    Subscribe,
     /// A line for the operators.
     Log(String),
 }
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone)]
 pub struct Listed {
     /// What the decision module is told.
-    pub entry: Entry,
+    pub entry: DirectoryEntry,
     /// Where the exchange listens.
     pub address: SocketAddr,
 }
@@ -160,7 +160,7 @@
     /// Queries out to one upstream at most.
     pub window: usize,
     /// Hosts of SIP addresses, and the places that they stand for.
-    pub routes: HashMap<String, Place>,
+    pub routes: HashMap<String, NodeNumber>,
     /// What the front's decision module is told.
     pub settings: Settings,
 }
@@ -331,7 +331,7 @@
         // A host holds dots, so its path can't be walked with `get`.
         let fields = routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
         let place = Node { path: format!("enum.routes.{host}"), value: fields.and_then(|f| f.get(host)) };
-        hosts.insert(host.to_ascii_lowercase(), Place(place.small(0)?));
+        hosts.insert(host.to_ascii_lowercase(), NodeNumber(place.small(0)?));
     }
     let upstreams = addresses(&root.get("upstreams"))?;
     let window = bounded(&root.get("window"), 64, 1, 256)?;
@@ -364,31 +364,31 @@
 fn pools(query_timeout: Duration, guard: Duration, max_attempts: u32) -> Settings {
     let aim = EASY_PARTS * query_timeout;
     let class = |worth| Class {
-        aim,
+        target_delay: aim,
         deadline: aim,
-        worth,
-        late_share: 0.5,
-        effect: Effect::Safe,
-        width: 1,
-        holding: Duration::ZERO,
+        value: worth,
+        late_value_share: 0.5,
+        idempotency: Idempotency::Safe,
+        circuits: 1,
+        mean_holding_time: Duration::ZERO,
         pools: Vec::new(),
     };
     Settings {
         classes: vec![class(1.0), class(10.0)],
         tenants: Vec::new(),
-        over_share_worth: 0.0,
+        over_quota_value_share: 0.0,
         fleet_size: 1,
-        me: 0,
-        topology: Topology::Groups,
-        guard,
-        resend: Duration::ZERO,
-        contract: Contract::default(),
-        limits: Limits { max_attempts, ..Limits::default() },
-        gauges: vec![Gauge::Spare, Gauge::Total],
+        controller_number: 0,
+        topology: Topology::Pools,
+        guard_time: guard,
+        resend_interval: Duration::ZERO,
+        rules: RuleSettings::default(),
+        limits: PolicyLimits { max_attempts, ..PolicyLimits::default() },
+        gauges: vec![Gauge::FreeCircuits, Gauge::TotalCircuits],
         penalties: Penalties::default(),
-        registry_asks: false,
-        marks_retry: true,
-        advice: false,
+        registry_polled: false,
+        redials_flagged: true,
+        has_route_advice: false,
         tick: Duration::from_millis(5),
     }
 }
@@ -434,9 +434,9 @@
         "left" => Health::Gone,
         _ => return state.wrong("must be active, leaving or left"),
     };
-    let entry = Entry {
+    let entry = DirectoryEntry {
         exchange: ExchangeId(line.get("host").text()?.into()),
-        place: Place(line.get("block").small(0)?),
+        node: NodeNumber(line.get("block").small(0)?),
         zone: zone.and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0) as u32,
         health,
         up_since: Some(line.get("born_ms").whole(0)?).filter(|ms| *ms > 0).map(Duration::from_millis),
@@ -448,10 +448,10 @@
 fn read_settings(root: &Node<'_>) -> Read<Settings> {
     let (domain, contract, limits) = (root.get("Domain"), root.get("Contract"), root.get("PolicyLimits"));
     let prices = root.get("Penalties");
-    let own = domain.get("OwnNumber").number_if()?.filter(|n| *n >= 0.0).map(|n| Place(n as u32));
+    let own = domain.get("OwnNumber").number_if()?.filter(|n| *n >= 0.0).map(|n| NodeNumber(n as u32));
     let shape = domain.get("Topology");
     let topology = match (shape.text_if()?, own) {
-        (Some("groups"), _) | (None, None) => Topology::Groups,
+        (Some("groups"), _) | (None, None) => Topology::Pools,
         (Some("meshed") | None, Some(own)) => Topology::Meshed(own),
         (Some("meshed"), None) => return domain.get("OwnNumber").wrong("is missing"),
         (Some(_), _) => return shape.wrong("must be meshed or groups"),
@@ -465,16 +465,18 @@
     let pools = domain.get("SkilledPools").items()?;
     let classes = classes.iter().enumerate().map(|(i, class)| {
         Ok(Class {
-            aim: class.get("AimNs").nanos()?,
+            target_delay: class.get("AimNs").nanos()?,
             deadline: class.get("DeadlineNs").nanos()?,
-            worth: class.get("Worth").number(0.0)?,
-            late_share: class.get("LateShare").number(0.0)?,
-            effect: effect(class)?,
-            width: widths.get(i).map_or(Ok(1), |w| w.small(1))?,
-            holding: holds.get(i).map_or(Ok(Duration::ZERO), Node::nanos)?,
+            value: class.get("Worth").number(0.0)?,
+            late_value_share: class.get("LateShare").number(0.0)?,
+            idempotency: effect(class)?,
+            circuits: widths.get(i).map_or(Ok(1), |w| w.small(1))?,
+            mean_holding_time: holds.get(i).map_or(Ok(Duration::ZERO), Node::nanos)?,
             pools: match pools.get(i) {
                 None => Vec::new(),
-                Some(list) => list.items()?.iter().map(|p| p.small(0).map(Place)).collect::<Read<_>>()?,
+                Some(list) => {
+                    list.items()?.iter().map(|p| p.small(0).map(NodeNumber)).collect::<Read<_>>()?
+                }
             },
         })
     });
@@ -483,53 +485,53 @@
     Ok(Settings {
         classes: classes.collect::<Read<_>>()?,
         tenants: tenants.iter().map(tenant).collect::<Read<_>>()?,
-        over_share_worth: root.get("OverShareWorth").number(0.0)?,
+        over_quota_value_share: root.get("OverShareWorth").number(0.0)?,
         fleet_size: root.get("FleetSize").small(1)?,
-        me: root.get("Me").small(0)?,
+        controller_number: root.get("Me").small(0)?,
         topology,
-        guard: domain.get("GuardNs").nanos()?,
-        resend: domain.get("ResendNs").nanos()?,
-        contract: Contract {
+        guard_time: domain.get("GuardNs").nanos()?,
+        resend_interval: domain.get("ResendNs").nanos()?,
+        rules: RuleSettings {
             drain_grace: contract.get("DrainGraceNs").nanos()?,
-            cold_from: contract.get("ColdFrom").number(0.0)?,
-            cold: contract.get("ColdNs").nanos()?,
-            fall_multiple: contract.get("FallMultiple").number(0.0)?,
-            fall: contract.get("FallNs").nanos()?,
-            ask_within: contract.get("AskWithinNs").nanos()?,
+            cold_capacity_share: contract.get("ColdFrom").number(0.0)?,
+            warm_up_time: contract.get("ColdNs").nanos()?,
+            overload_multiple: contract.get("FallMultiple").number(0.0)?,
+            overload_window: contract.get("FallNs").nanos()?,
+            max_poll_interval: contract.get("AskWithinNs").nanos()?,
         },
-        limits: Limits {
+        limits: PolicyLimits {
             max_attempts: limits.get("MaxAttempts").small(1)?,
-            cancelling: limits.get("Cancelling").flag(false)?,
-            probes: limits.get("Probes").flag(false)?,
-            peers: limits.get("Peers").flag(false)?,
-            retry_after: limits.get("RetryAfter").flag(false)?,
+            cancel_allowed: limits.get("Cancelling").flag(false)?,
+            probes_allowed: limits.get("Probes").flag(false)?,
+            peer_messages_allowed: limits.get("Peers").flag(false)?,
+            retry_after_allowed: limits.get("RetryAfter").flag(false)?,
             max_retry_after: limits.get("MaxRetryAfterNs").nanos()?,
         },
         gauges: gauges(&root.get("Stats").get("Names"))?,
         penalties: Penalties {
-            late_fail: prices.get("LateFail").number(0.0)?,
-            waste: prices.get("Waste").number(0.0)?,
+            late_failure: prices.get("LateFail").number(0.0)?,
+            wasted_work: prices.get("Waste").number(0.0)?,
             probe: prices.get("Probe").number(0.0)?,
-            peer: prices.get("Peer").number(0.0)?,
+            peer_message: prices.get("Peer").number(0.0)?,
         },
-        registry_asks: root.get("RegistryMode").text_if()? == Some("ask"),
-        marks_retry: root.get("Clients").get("MarksRetry").flag(false)?,
-        advice: domain.get("Advice").flag(false)?,
+        registry_polled: root.get("RegistryMode").text_if()? == Some("ask"),
+        redials_flagged: root.get("Clients").get("MarksRetry").flag(false)?,
+        has_route_advice: domain.get("Advice").flag(false)?,
         tick: root.get("TickNs").nanos()?,
     })
 }
 
-fn effect(class: &Node<'_>) -> Read<Effect> {
+fn effect(class: &Node<'_>) -> Read<Idempotency> {
     Ok(match class.get("Effect").text_if()? {
-        None | Some("safe") => Effect::Safe,
-        Some("unsafe") => Effect::Unsafe,
+        None | Some("safe") => Idempotency::Safe,
+        Some("unsafe") => Idempotency::Unsafe,
         Some("keyed") => {
             let scope = match class.get("DedupScope").text_if()? {
-                Some("all") => Scope::All,
-                Some("zone") => Scope::Zone,
-                _ => Scope::Place,
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                _ => DedupScope::Node,
             };
-            Effect::Keyed(scope, class.get("WindowNs").nanos()?)
+            Idempotency::Keyed(scope, class.get("WindowNs").nanos()?)
         }
         Some(_) => return class.get("Effect").wrong("must be safe, keyed or unsafe"),
     })
@@ -537,14 +539,14 @@
 
 fn gauges(names: &Node<'_>) -> Read<Vec<Gauge>> {
     let gauge = |name: &str| match name {
-        "spare" | "x0" => Gauge::Spare,
-        "total" | "x1" => Gauge::Total,
-        "rif" | "inflight" => Gauge::InWork,
-        "q" | "queue" => Gauge::Waiting,
-        "busy" | "util" => Gauge::Busy,
-        "lat_ms" | "latency_ms" => Gauge::WaitMs,
-        "allowed" | "qps" => Gauge::Allowed,
-        "cut_by" | "eps" => Gauge::CutBy,
+        "spare" | "x0" => Gauge::FreeCircuits,
+        "total" | "x1" => Gauge::TotalCircuits,
+        "rif" | "inflight" => Gauge::InFlight,
+        "q" | "queue" => Gauge::Queued,
+        "busy" | "util" => Gauge::Utilization,
+        "lat_ms" | "latency_ms" => Gauge::LatencyMs,
+        "allowed" | "qps" => Gauge::AllowedRate,
+        "cut_by" | "eps" => Gauge::RequestedReduction,
         _ => Gauge::Unknown,
     };
     names.items()?.iter().map(|n| n.text().map(gauge)).collect()
--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -52,7 +52,7 @@
     let platform = Platform::new(&config, log.clone(), clock)?;
     tokio::task::spawn_local(sockets::keep_time(platform.clone()));
     tokio::task::spawn_local(sockets::follow(platform.clone()));
-    if let Some(at) = config.peer_listen.filter(|_| config.settings.limits.peers) {
+    if let Some(at) = config.peer_listen.filter(|_| config.settings.limits.peer_messages_allowed) {
         let socket = bind("peer_listen", at).await?;
         tokio::task::spawn_local(sockets::hear_peers(platform.clone(), Rc::new(socket)));
     }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resolved {
     /// To this place.
-    To(Place),
+    To(NodeNumber),
     /// The number does not exist or leads nowhere that is served here.
     Nowhere,
     /// Not known in time.
@@ -140,14 +140,14 @@
     /// listed run on to their end.
     fn list_upstreams(&mut self) {
         let id = |address: &SocketAddr| ExchangeId(address.to_string().into());
-        let entries = self.setup.upstreams.iter().zip(0..).map(|(address, place)| Entry {
+        let entries = self.setup.upstreams.iter().zip(0..).map(|(address, place)| DirectoryEntry {
             exchange: id(address),
-            place: Place(place),
+            node: NodeNumber(place),
             zone: 0,
             health: Health::Live,
             up_since: None,
         });
-        self.core.directory(self.clock.now(), ListKind::Full, entries.collect());
+        self.core.directory(self.clock.now(), UpdateKind::Full, entries.collect());
         for address in &self.setup.upstreams {
             let upstream = Upstream { address: *address, out: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
@@ -199,18 +199,18 @@
         let number: Arc<str> = name.to_string().into();
         self.askers.insert(id.clone(), asker);
         self.names.insert(id.clone(), name);
-        let offer = Offer {
+        let offer = OfferedCall {
             call: id,
             class,
             tenant: 0,
-            number,
+            called_number: number,
             remaining,
-            dest: Place(0),
-            width: Some(1),
+            destination: NodeNumber(0),
+            circuits: Some(1),
             via: None,
-            again: false,
-            transit: false,
-            reconnect: false,
+            flagged_as_redial: false,
+            is_transit: false,
+            is_reconnect: false,
         };
         let request = Request { origin: Origin(self.next), offer, description: "".into() };
         self.core.request(self.clock.now(), request);
@@ -319,22 +319,22 @@
         self.forget(exchange, call);
         let now = self.clock.now();
         let status = match reply {
-            Err(Failed::Silent) => Status::TimedOut,
-            Err(Failed::Unreachable) => Status::Unreachable,
+            Err(Failed::Silent) => AttemptStatus::TimedOut,
+            Err(Failed::Unreachable) => AttemptStatus::Unreachable,
             // What is cut or spoilt can't be read whole here; another server may give it in full.
-            Ok(reply) if reply.truncated => Status::Full,
+            Ok(reply) if reply.truncated => AttemptStatus::Full,
             Ok(reply) => match reply.rcode {
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.found.insert(call.clone(), Found { rcode: reply.rcode, records: reply.records });
                     self.core.reply(now, exchange, call, Reply::Stands("".into()));
-                    Status::Ended
+                    AttemptStatus::Ended
                 }
                 // Not resolved by this one; another may.
-                dns::SERVFAIL | dns::REFUSED => Status::Full,
-                _ => Status::Error,
+                dns::SERVFAIL | dns::REFUSED => AttemptStatus::Full,
+                _ => AttemptStatus::Error,
             },
         };
-        if status != Status::Ended {
+        if status != AttemptStatus::Ended {
             debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "how" => ?status);
         }
         self.core.reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
@@ -344,7 +344,7 @@
     }
 
     /// The place that a lead's host stands for.
-    fn place(&self, lead: &Lead) -> Option<Place> {
+    fn place(&self, lead: &Lead) -> Option<NodeNumber> {
         let Lead::Uri(uri) = lead else { return None };
         let host = dns::host_of(uri)?.to_ascii_lowercase();
         self.setup.routes.get(&host).copied()
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::connection::{CloseReason, SharedWriteBuffer};
-use crate::interface::{CallId, Status};
+use crate::interface::{AttemptStatus, CallId};
 
 /// Connections to one exchange at most (the protocol's limit).
 const MAX_CONNECTIONS: usize = 4;
@@ -365,11 +365,11 @@
     }
 
     /// What became of a set-up whose connection ended or never came up.
-    pub fn status(ran: bool) -> Status {
+    pub fn status(ran: bool) -> AttemptStatus {
         if ran {
-            Status::Reset
+            AttemptStatus::Reset
         } else {
-            Status::Unreachable
+            AttemptStatus::Unreachable
         }
     }
 }
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -90,7 +90,7 @@
         }
         self.metrics.count_request();
         debug!(self.log, "request taken"; "call_id" => &*id.0, "connection_id" => client,
-            "class" => offer.class, "left_ms" => offer.remaining.as_millis(), "transit" => offer.transit);
+            "class" => offer.class, "left_ms" => offer.remaining.as_millis(), "transit" => offer.is_transit);
         self.invites.insert(id.clone(), Invite { client, echoed });
         self.clients.begin(client, id);
         let request = Request { origin: Origin(client), offer, description: description.into() };
@@ -107,7 +107,7 @@
         id: &CallId,
         number: Arc<str>,
         message: &Message,
-    ) -> Option<(Option<Place>, Offer)> {
+    ) -> Option<(Option<NodeNumber>, OfferedCall)> {
         let class = message.header("X-Call-Class");
         let class = class.and_then(|name| self.class_names.iter().position(|n| n == name))?;
         let limit = Duration::from_millis(message.header("X-Ring-Limit")?.parse().ok()?);
@@ -117,25 +117,26 @@
             None => Some(None),
             Some(n) => ((least..=most).contains(&n) && n.fract() == 0.0).then_some(Some(n)),
         };
-        let dest = whole("dest", 0.0, f64::from(u32::MAX))?.map(|n| Place(n as u32));
+        let dest = whole("dest", 0.0, f64::from(u32::MAX))?.map(|n| NodeNumber(n as u32));
         let width = whole("width", 1.0, WIDEST)?.map(|n| n as u32);
-        let via = whole("via", -1.0, f64::from(u32::MAX))?.filter(|n| *n >= 0.0).map(|n| Place(n as u32));
+        let via =
+            whole("via", -1.0, f64::from(u32::MAX))?.filter(|n| *n >= 0.0).map(|n| NodeNumber(n as u32));
         let flag = |name| whole(name, 0.0, 1.0).map(|n| n == Some(1.0));
         let again = message.header("X-Again").unwrap_or("0");
         let fits = !limit.is_zero() && limit <= LONGEST_WAIT && matches!(again, "0" | "1");
         (fits && (dest.is_some() || self.look_up.is_some())).then_some(())?;
-        let offer = Offer {
+        let offer = OfferedCall {
             call: id.clone(),
             class,
             tenant: 0,
-            number,
+            called_number: number,
             remaining: limit.saturating_sub(RESPONSE_MARGIN),
-            dest: dest.unwrap_or(Place(0)),
-            width,
+            destination: dest.unwrap_or(NodeNumber(0)),
+            circuits: width,
             via,
-            again: again == "1",
-            transit: flag("transit")?,
-            reconnect: flag("again")?,
+            flagged_as_redial: again == "1",
+            is_transit: flag("transit")?,
+            is_reconnect: flag("again")?,
         };
         Some((dest, offer))
     }
@@ -168,7 +169,7 @@
         let deadline = now + request.offer.remaining;
         let within = request.offer.remaining.mul_f64(share);
         tokio::task::spawn_local(async move {
-            let found = enumeration::resolve(front, request.offer.number.to_string(), within).await;
+            let found = enumeration::resolve(front, request.offer.called_number.to_string(), within).await;
             let mut platform = me.borrow_mut();
             let id = request.offer.call.clone();
             if !platform.invites.contains_key(&id) {
@@ -177,7 +178,7 @@
             let now = platform.clock.now();
             match found {
                 Resolved::To(place) => {
-                    request.offer.dest = place;
+                    request.offer.destination = place;
                     request.offer.remaining = deadline.saturating_sub(now);
                     platform.core.request(now, request);
                 }
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -143,40 +143,40 @@
 }
 
 /// How an attempt, or a call that stood, has ended.
-fn end_of(cause: Option<u32>, stood: bool) -> Status {
+fn end_of(cause: Option<u32>, stood: bool) -> AttemptStatus {
     match (cause, stood) {
-        (Some(41), _) => Status::Reset,
-        (_, true) => Status::Ended,
-        (Some(34), false) => Status::Full,
-        (Some(102), false) => Status::Moot,
+        (Some(41), _) => AttemptStatus::Reset,
+        (_, true) => AttemptStatus::Ended,
+        (Some(34), false) => AttemptStatus::Full,
+        (Some(102), false) => AttemptStatus::Moot,
         // Guards against repeating what ran: the call stood there and came to its end, and its answer was lost.
         // (What is given up here is settled at once, and is no longer open when its end is heard of.)
-        (Some(16), false) => Status::Ended,
-        _ => Status::Error,
+        (Some(16), false) => AttemptStatus::Ended,
+        _ => AttemptStatus::Error,
     }
 }
 
-fn cause_of(note: &str) -> Option<Cause> {
+fn cause_of(note: &str) -> Option<FailureCause> {
     Some(match note {
-        "group_full" => Cause::NoCircuit,
-        "tandem_refused" => Cause::TurnedBack,
-        "destination_full" => Cause::TurnedBackFull,
-        "processor_full" => Cause::ProcessorFull(None),
-        "user_busy" => Cause::LinesBusy,
+        "group_full" => FailureCause::NoCircuit,
+        "tandem_refused" => FailureCause::CrankedBack,
+        "destination_full" => FailureCause::DestinationFull,
+        "processor_full" => FailureCause::ProcessorFull(None),
+        "user_busy" => FailureCause::UserBusy,
         _ => return None,
     })
 }
 
 /// The word for an outcome in the metrics.
-fn outcome_name(status: Status) -> &'static str {
+fn outcome_name(status: AttemptStatus) -> &'static str {
     match status {
-        Status::Ended => "ended",
-        Status::Error => "error",
-        Status::Full => "full",
-        Status::TimedOut => "timed_out",
-        Status::Unreachable => "unreachable",
-        Status::Reset => "reset",
-        Status::Cancelled => "cancelled",
-        Status::Moot => "moot",
+        AttemptStatus::Ended => "ended",
+        AttemptStatus::Error => "error",
+        AttemptStatus::Full => "full",
+        AttemptStatus::TimedOut => "timed_out",
+        AttemptStatus::Unreachable => "unreachable",
+        AttemptStatus::Reset => "reset",
+        AttemptStatus::Cancelled => "cancelled",
+        AttemptStatus::Moot => "moot",
     }
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -146,7 +146,7 @@
                 class_names: config.class_names.clone(),
                 gauge_names: config.gauge_names.clone(),
                 connect_timeout: config.connect_timeout,
-                silence: config.settings.classes.iter().map(|c| c.aim / 2).min().unwrap_or_default(),
+                silence: config.settings.classes.iter().map(|c| c.target_delay / 2).min().unwrap_or_default(),
                 last_event: config.known_index,
                 clients: ClientConnections::new(max_client_connections(config)),
                 invites: HashMap::new(),
@@ -158,7 +158,7 @@
                 is_stopped: false,
                 client_budget: WriteBudget::new(connection::WRITE_BUDGET),
                 server_budget: WriteBudget::new(connection::WRITE_BUDGET),
-                hold_off: limits.retry_after.then_some(limits.max_retry_after.as_millis()),
+                hold_off: limits.retry_after_allowed.then_some(limits.max_retry_after.as_millis()),
                 look_up: None,
                 started: now,
                 peer_socket: None,
@@ -175,7 +175,7 @@
 
     fn apply_known(&mut self, config: &Config) {
         for (index, known) in config.known.iter().enumerate() {
-            let kind = if index == 0 || known.whole { ListKind::Stored } else { ListKind::Changes };
+            let kind = if index == 0 || known.whole { UpdateKind::Stored } else { UpdateKind::Changes };
             self.update(kind, known);
         }
     }
@@ -269,10 +269,10 @@
 
     // ---- the list ------------------------------------------------------------------------------
 
-    fn update(&mut self, kind: ListKind, update: &Update) {
+    fn update(&mut self, kind: UpdateKind, update: &Update) {
         let now = self.clock.now();
         let lines = &update.lines;
-        if kind != ListKind::Changes {
+        if kind != UpdateKind::Changes {
             let is_listed = |id: &ExchangeId| lines.iter().any(|l| l.entry.exchange == *id);
             let missing = self.pools.iter_mut().filter(|(id, _)| !is_listed(id));
             missing.for_each(|(_, pool)| pool.set_listed(now, false));
@@ -288,7 +288,7 @@
             if moved || before.get(id).is_some_and(|up| *up != entry.up_since) {
                 pool.replace_connections(now);
             }
-            info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.place.0,
+            info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.node.0,
                 "health" => ?entry.health, "up_since" => ?entry.up_since, "event" => self.last_event);
         }
         for Listed { address, .. } in lines.iter().filter(|l| l.entry.health != Health::Gone) {
@@ -317,9 +317,9 @@
         let Some(list) = frame.list.filter(|_| frame.number > self.last_event) else { return };
         self.last_event = frame.number;
         let lines = list.records.into_iter().map(|r| Listed {
-            entry: Entry {
+            entry: DirectoryEntry {
                 exchange: ExchangeId(r.id.into()),
-                place: Place(u32::from(r.cell)),
+                node: NodeNumber(u32::from(r.cell)),
                 zone: u32::from(r.zone),
                 health: match r.state {
                     0 => Health::Live,
@@ -331,7 +331,7 @@
             address: r.address,
         });
         let update = Update { whole: list.whole, lines: lines.collect() };
-        self.update(if list.whole { ListKind::Full } else { ListKind::Changes }, &update);
+        self.update(if list.whole { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -53,12 +53,12 @@
 /// Log lines for the operators at most, over a controller's life.
 const LOG_LINES: usize = 20;
 
-const CYCLE_TOKEN: Token = Token(0);
+const CYCLE_TOKEN: TimerToken = TimerToken(0);
 
 /// A machine of the directory.
 #[derive(Debug)]
 struct Machine {
-    place: Place,
+    place: NodeNumber,
     health: Health,
     /// Warm from this time on; before it the cold budget binds.
     warm_at: f64,
@@ -80,7 +80,7 @@
     silent: bool,
     lossy: f64,
     /// Tandems for calls to here: how long each was last left out (0: its last call stood), until when.
-    ways: BTreeMap<Place, (f64, f64)>,
+    ways: BTreeMap<NodeNumber, (f64, f64)>,
     free: Option<f64>,
     told: bool,
     /// Circuits seized by sends at the latest instant of sending.
@@ -95,7 +95,7 @@
 
 #[derive(Debug)]
 struct Attempt {
-    place: Place,
+    place: NodeNumber,
     at: f64,
     /// Still counts in the windows.
     counted: bool,
@@ -106,7 +106,7 @@
 
 #[derive(Debug)]
 struct Call {
-    offer: Offer,
+    offer: OfferedCall,
     class: usize,
     width: f64,
     deadline: f64,
@@ -124,7 +124,7 @@
     stands: bool,
     /// Its direct route has been counted as free or blocked.
     weighed: bool,
-    tried: Vec<Place>,
+    tried: Vec<NodeNumber>,
 }
 
 impl Call {
@@ -158,9 +158,9 @@
     /// Numbers of calls that ended without standing, and when they were first dialled.
     redials: BTreeMap<Arc<str>, f64>,
     machines: BTreeMap<ExchangeId, Machine>,
-    far: BTreeMap<Place, Far>,
+    far: BTreeMap<NodeNumber, Far>,
     calls: BTreeMap<CallId, Call>,
-    waiting: BTreeMap<Token, CallId>,
+    waiting: BTreeMap<TimerToken, CallId>,
     /// Numbers whose lines were all busy: last rest, and its end.
     busy: BTreeMap<Arc<str>, (f64, f64)>,
     next_token: u64,
@@ -173,12 +173,12 @@
     /// # Errors
     /// When the settings name no class or no fleet, or a figure makes no sense.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
-        let senseless = |c: &Class| c.aim.is_zero() || !c.worth.is_finite();
+        let senseless = |c: &Class| c.target_delay.is_zero() || !c.value.is_finite();
         if settings.classes.is_empty() || settings.classes.iter().any(senseless) || settings.fleet_size == 0 {
             return Err(SettingsError("no fleet, no classes, or a class with no aim or no worth"));
         }
         let now = now.as_secs_f64();
-        let aim = settings.classes.iter().map(|c| c.aim.as_secs_f64()).fold(f64::INFINITY, f64::min);
+        let aim = settings.classes.iter().map(|c| c.target_delay.as_secs_f64()).fold(f64::INFINITY, f64::min);
         Ok(Self {
             set: settings,
             aim,
@@ -211,35 +211,40 @@
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now.as_secs_f64());
         if !std::mem::replace(&mut self.started, true) {
-            out.push(Action::Timer { after: Duration::from_secs_f64(self.spell), token: CYCLE_TOKEN });
-            out.extend(self.set.registry_asks.then_some(Action::Watch));
+            out.push(Action::StartTimer { after: Duration::from_secs_f64(self.spell), token: CYCLE_TOKEN });
+            out.extend(self.set.registry_polled.then_some(Action::Subscribe));
         }
         match event {
-            Event::Directory { kind, entries } => self.on_directory(kind, &entries),
-            Event::Offered(offer) => self.on_offer(offer, out),
-            Event::Stands { call, took, .. } => self.on_stands(&call, took.as_secs_f64(), out),
-            Event::Ended(outcome) => self.on_ended(&outcome, out),
-            Event::Sampled { exchange, report, .. } => {
+            Event::DirectoryUpdate { kind, entries } => self.on_directory(kind, &entries),
+            Event::CallOffered(offer) => self.on_offer(offer, out),
+            Event::CallEstablished { call, elapsed: took, .. } => {
+                self.on_stands(&call, took.as_secs_f64(), out)
+            }
+            Event::AttemptEnded(outcome) => self.on_ended(&outcome, out),
+            Event::LoadReported { exchange, load_report: report, .. } => {
                 self.read_report(&exchange, &report, true);
                 self.release(out);
             }
-            Event::CallerGone(id) => {
+            Event::CallAbandoned(id) => {
                 let Some(call) = self.calls.remove(&id) else { return };
                 self.expect_redial(&call);
                 if let Some(attempt) = call.out.filter(|a| a.counted && !call.stands) {
                     self.answered(attempt.place, self.now - attempt.at);
                 }
             }
-            Event::Peer { .. } => {}
-            Event::Timer(CYCLE_TOKEN) => {
+            Event::PeerMessage { .. } => {}
+            Event::TimerExpired(CYCLE_TOKEN) => {
                 self.watch_silence();
                 let again = self.end_cycles() && std::mem::take(&mut self.ask_again);
-                out.extend(again.then_some(Action::Watch));
+                out.extend(again.then_some(Action::Subscribe));
                 self.tell_changes(out);
                 self.release(out);
-                out.push(Action::Timer { after: Duration::from_secs_f64(self.spell), token: CYCLE_TOKEN });
+                out.push(Action::StartTimer {
+                    after: Duration::from_secs_f64(self.spell),
+                    token: CYCLE_TOKEN,
+                });
             }
-            Event::Timer(token) => {
+            Event::TimerExpired(token) => {
                 if let Some(call) = self.waiting.remove(&token) {
                     self.consider(&call, out);
                 }
@@ -270,24 +275,24 @@
         self.cycles > before
     }
 
-    fn here(&self) -> Option<Place> {
+    fn here(&self) -> Option<NodeNumber> {
         let Topology::Meshed(place) = self.set.topology else { return None };
         Some(place)
     }
 
     // ---- the directory -------------------------------------------------------------------------
 
-    fn on_directory(&mut self, kind: ListKind, entries: &Arc<Vec<Entry>>) {
+    fn on_directory(&mut self, kind: UpdateKind, entries: &Arc<Vec<DirectoryEntry>>) {
         // Asked again at the end of a cycle, so that a refusing registry is not flooded.
-        self.ask_again |= kind == ListKind::Failed;
-        let whole = matches!(kind, ListKind::Full | ListKind::Stored);
+        self.ask_again |= kind == UpdateKind::Failed;
+        let whole = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         self.machines.values_mut().filter(|_| whole).for_each(|m| m.health = Health::Gone);
         for entry in entries.iter() {
-            let warm_at = entry.up_since.map_or(0.0, |t| (t + self.set.contract.cold).as_secs_f64());
+            let warm_at = entry.up_since.map_or(0.0, |t| (t + self.set.rules.warm_up_time).as_secs_f64());
             let cold_sends = self.machines.remove(&entry.exchange).map_or_else(Vec::new, |m| m.cold_sends);
-            let machine = Machine { place: entry.place, health: entry.health, warm_at, cold_sends };
+            let machine = Machine { place: entry.node, health: entry.health, warm_at, cold_sends };
             self.machines.insert(entry.exchange.clone(), machine);
-            self.far.entry(entry.place).or_default();
+            self.far.entry(entry.node).or_default();
         }
         if self.machines.len() > 4 * self.far.len() {
             self.machines.retain(|_, m| m.health != Health::Gone);
@@ -295,7 +300,7 @@
     }
 
     /// The machine that takes new work for a place: live, and the latest started if there are two.
-    fn machine_of(&self, place: Place) -> Option<(&ExchangeId, &Machine)> {
+    fn machine_of(&self, place: NodeNumber) -> Option<(&ExchangeId, &Machine)> {
         let live = self.machines.iter().filter(|(_, m)| m.place == place && m.health == Health::Live);
         live.max_by(|a, b| a.1.warm_at.total_cmp(&b.1.warm_at))
     }
@@ -306,12 +311,12 @@
         for (gauge, value) in self.set.gauges.iter().zip(report).filter(|(_, v)| **v >= 0.0) {
             // Strain told by the processor itself: pressed above one, at ease below zero.
             let strain = match gauge {
-                Gauge::WaitMs => (value / 1000.0 / self.aim - EASY) / (PRESSED - EASY),
-                Gauge::Allowed => {
+                Gauge::LatencyMs => (value / 1000.0 / self.aim - EASY) / (PRESSED - EASY),
+                Gauge::AllowedRate => {
                     far.best_allowed = far.best_allowed.max(*value) * (1.0 - BEST_DECAY);
                     (ALLOWED.1 * far.best_allowed - value) / ((ALLOWED.1 - ALLOWED.0) * far.best_allowed)
                 }
-                Gauge::CutBy => (value - EASY) / (PRESSED - EASY),
+                Gauge::RequestedReduction => (value - EASY) / (PRESSED - EASY),
                 _ => 0.5,
             };
             if strain > 1.0 {
@@ -320,7 +325,7 @@
                 far.window.size = far.window.size.max(1.0);
             }
             // Once free circuits are told as they change, those in reports are older news.
-            if *gauge == Gauge::Spare && (told || !far.told) {
+            if *gauge == Gauge::FreeCircuits && (told || !far.told) {
                 far.told |= told;
                 // What was sent in this very instant is not in the figure yet.
                 let unseen = if far.sent_at == self.now { far.sent_width } else { 0.0 };
@@ -336,12 +341,15 @@
     ///
     /// Guards against late worth taken for full worth, and fresh calls with little time left taken for
     /// late ones. Harm: of many callers of one number some are taken for another's redial, hence late.
-    fn first_dialled(&mut self, offer: &Offer) -> f64 {
-        let first = self.redials.remove(&offer.number).filter(|_| offer.again || !self.set.marks_retry);
-        first.filter(|_| !offer.reconnect && !offer.transit).unwrap_or(self.now)
+    fn first_dialled(&mut self, offer: &OfferedCall) -> f64 {
+        let first = self
+            .redials
+            .remove(&offer.called_number)
+            .filter(|_| offer.flagged_as_redial || !self.set.redials_flagged);
+        first.filter(|_| !offer.is_reconnect && !offer.is_transit).unwrap_or(self.now)
     }
 
-    fn on_offer(&mut self, offer: Offer, out: &mut Vec<Action>) {
+    fn on_offer(&mut self, offer: OfferedCall, out: &mut Vec<Action>) {
         self.own.offered += 1.0;
         if self.calls.contains_key(&offer.call) {
             return;
@@ -349,12 +357,13 @@
         let (id, deadline) = (offer.call.clone(), self.now + offer.remaining.as_secs_f64());
         let (number, dialled) = (offer.class.min(self.set.classes.len() - 1), self.first_dialled(&offer));
         let class = &self.set.classes[number];
-        let held_until = if offer.transit { self.now } else { deadline - 2.0 * self.set.tick.as_secs_f64() };
+        let held_until =
+            if offer.is_transit { self.now } else { deadline - 2.0 * self.set.tick.as_secs_f64() };
         let call = Call {
             class: number,
-            width: f64::from(offer.width.unwrap_or(class.width).max(1)),
+            width: f64::from(offer.circuits.unwrap_or(class.circuits).max(1)),
             deadline,
-            aim: class.aim.as_secs_f64(),
+            aim: class.target_delay.as_secs_f64(),
             dialled,
             held_until,
             attempts: 0,
@@ -366,9 +375,9 @@
             tried: Vec::new(),
             offer,
         };
-        if let Some(via) = call.offer.via.filter(|_| self.set.advice && !call.offer.transit) {
+        if let Some(via) = call.offer.via.filter(|_| self.set.has_route_advice && !call.offer.is_transit) {
             // The centre saw room over this tandem: it joins those that are known to lead there.
-            let way = self.far.entry(call.offer.dest).or_default().ways.entry(via).or_default();
+            let way = self.far.entry(call.offer.destination).or_default().ways.entry(via).or_default();
             *way = if self.now > way.1 { (0.0, 0.0) } else { *way };
         }
         self.calls.insert(id.clone(), call);
@@ -378,15 +387,15 @@
 
     fn wake_at(&mut self, at: f64, id: &CallId, out: &mut Vec<Action>) {
         let after = Duration::from_secs_f64((at - self.now).max(0.0) + 0.001);
-        let token = Token(self.next_token);
+        let token = TimerToken(self.next_token);
         self.next_token += 1;
         self.waiting.insert(token, id.clone());
-        out.push(Action::Timer { after, token });
+        out.push(Action::StartTimer { after, token });
     }
 
     /// Whether a call sent now would stand only after its aim, going by recent set-up times there.
     fn is_late(&self, call: &Call) -> bool {
-        self.now + self.far.get(&call.offer.dest).map_or(0.0, |f| f.setup) > call.dialled + call.aim
+        self.now + self.far.get(&call.offer.destination).map_or(0.0, |f| f.setup) > call.dialled + call.aim
     }
 
     /// The number answered busy (its rest doubles) or took a call (its rest is over).
@@ -407,7 +416,7 @@
     /// Worth of a call if it were sent now.
     fn value(&self, call: &Call) -> f64 {
         let class = &self.set.classes[call.class];
-        class.worth * if self.is_late(call) { class.late_share } else { 1.0 }
+        class.value * if self.is_late(call) { class.late_value_share } else { 1.0 }
     }
 
     /// Sends what is held, the worthiest first, as far as windows and quota are open.
@@ -429,13 +438,13 @@
         if !call.is_held(self.now) {
             return self.call_off(id, out);
         }
-        let dest = self.far.get(&call.offer.dest);
-        let late = !call.offer.transit && self.is_late(call);
+        let dest = self.far.get(&call.offer.destination);
+        let late = !call.offer.is_transit && self.is_late(call);
         // In a mesh every way ends at the destination; of pools another may take the call.
         let reachable = dest.is_none_or(|f| f.window.is_open(self.now, late));
-        let reachable = reachable && self.machine_of(call.offer.dest).is_some();
-        let rests = self.busy.get(&call.offer.number).is_some_and(|(_, until)| self.now < *until);
-        let own = call.offer.transit || (!rests && self.own_window.is_open(self.now, late));
+        let reachable = reachable && self.machine_of(call.offer.destination).is_some();
+        let rests = self.busy.get(&call.offer.called_number).is_some_and(|(_, until)| self.now < *until);
+        let own = call.offer.is_transit || (!rests && self.own_window.is_open(self.now, late));
         if (reachable || self.here().is_none()) && own && (call.attempts > 0 || self.own.has_room()) {
             self.route(id, out);
         } else if self.now >= call.held_until {
@@ -448,7 +457,7 @@
         let late = self.calls.get(id).is_some_and(|c| self.is_late(c));
         let Some(call) = self.calls.get_mut(id) else { return };
         let (dest, width, transit, until) =
-            (call.offer.dest, call.width, call.offer.transit, call.held_until);
+            (call.offer.destination, call.width, call.offer.is_transit, call.held_until);
         let (first, tried) = (!std::mem::replace(&mut call.weighed, true), call.tried.clone());
         // Guards the calls of a router that is down: the front hands them to others, to the destination's own
         // too, and from there only another exchange leads to it.
@@ -480,16 +489,16 @@
         }
     }
 
-    fn tandems(&self, id: &CallId, tried: &[Place]) -> Vec<Place> {
-        let dest = self.calls.get(id).and_then(|c| self.far.get(&c.offer.dest).map(|d| (c, d)));
+    fn tandems(&self, id: &CallId, tried: &[NodeNumber]) -> Vec<NodeNumber> {
+        let dest = self.calls.get(id).and_then(|c| self.far.get(&c.offer.destination).map(|d| (c, d)));
         let Some((call, dest)) = dest else { return Vec::new() };
-        if tried.iter().filter(|p| **p != call.offer.dest).count() >= TANDEMS {
+        if tried.iter().filter(|p| **p != call.offer.destination).count() >= TANDEMS {
             return Vec::new();
         }
         let reserve = RESERVE_BASE + RESERVE_GAIN * dest.blocking;
         let class = &self.set.classes[call.class];
-        let fits = |place: &Place, far: &Far| {
-            *place != call.offer.dest
+        let fits = |place: &NodeNumber, far: &Far| {
+            *place != call.offer.destination
                 && Some(*place) != self.here()
                 && !tried.contains(place)
                 && far.free.is_some_and(|f| f >= call.width + reserve)
@@ -498,8 +507,9 @@
                 && (class.pools.is_empty() || class.pools.contains(place))
                 && self.machine_of(*place).is_some_and(|(_, m)| m.warm_at <= self.now)
         };
-        let mut ways: Vec<Place> = self.far.iter().filter(|(p, f)| fits(p, f)).map(|(p, _)| *p).collect();
-        let proven = |place: &Place| dest.ways.get(place).is_some_and(|(rest, _)| *rest == 0.0);
+        let mut ways: Vec<NodeNumber> =
+            self.far.iter().filter(|(p, f)| fits(p, f)).map(|(p, _)| *p).collect();
+        let proven = |place: &NodeNumber| dest.ways.get(place).is_some_and(|(rest, _)| *rest == 0.0);
         if ways.iter().any(proven) {
             ways.retain(proven);
         }
@@ -507,7 +517,7 @@
     }
 
     /// The one way out for a set-up. Keeps rules 2 to 5; false when one of them forbids it.
-    fn send(&mut self, id: &CallId, place: Place, out: &mut Vec<Action>) -> bool {
+    fn send(&mut self, id: &CallId, place: NodeNumber, out: &mut Vec<Action>) -> bool {
         let Some((exchange, cold)) = self.machine_of(place).map(|(e, m)| (e.clone(), m.warm_at > self.now))
         else {
             return false; // rule 3: nothing to a machine that drains or is gone
@@ -519,7 +529,7 @@
         let Some(call) = self.calls.get_mut(id) else { return false };
         let barred = !call.is_held(self.now); // rules 2 and 5
         let spent = call.attempts >= self.set.limits.max_attempts || self.now >= call.deadline;
-        let astray = Some(place) == here || (call.offer.transit && place != call.offer.dest);
+        let astray = Some(place) == here || (call.offer.is_transit && place != call.offer.destination);
         if barred || spent || call.doubtful || astray {
             return false;
         }
@@ -536,7 +546,7 @@
         far.sent += 1.0;
         self.own_window.out += 1.0;
         let overdue_at = self.now + LOST_AFTER * far.setup.max(self.setup);
-        out.push(Action::Send { call: id.clone(), to: exchange.clone(), until });
+        out.push(Action::SendSetUp { call: id.clone(), exchange: exchange.clone(), give_up_at: until });
         self.wake_at(overdue_at, id, out);
         let machine = self.machines.get_mut(&exchange).filter(|_| cold).into_iter();
         machine.for_each(|m| m.cold_sends.push(self.now));
@@ -546,15 +556,15 @@
     /// Rule 4: this sender's share of what a cold exchange can take over the window. Guards against one kept
     /// idle, too: what was sent there while it was warm tells more than what is dialled here.
     fn cold_room(&mut self, exchange: &ExchangeId) -> bool {
-        let contract = &self.set.contract;
-        let window = contract.fall.as_secs_f64();
+        let contract = &self.set.rules;
+        let window = contract.overload_window.as_secs_f64();
         let Some(machine) = self.machines.get_mut(exchange) else { return false };
         let usual = self.far.get(&machine.place).map_or(0.0, |f| COLD_SHARE * f.rate);
         let share = usual.max(self.own.x.max(FLOOR) / f64::from(self.set.fleet_size));
         // Its capacity grows until it is warm; the manner is not told, taken for even.
-        let left = ((machine.warm_at - self.now) / contract.cold.as_secs_f64()).clamp(0.0, 1.0);
-        let warmth = 1.0 - left * (1.0 - contract.cold_from);
-        let budget = COLD_MARGIN * contract.fall_multiple * warmth * share * window;
+        let left = ((machine.warm_at - self.now) / contract.warm_up_time.as_secs_f64()).clamp(0.0, 1.0);
+        let warmth = 1.0 - left * (1.0 - contract.cold_capacity_share);
+        let budget = COLD_MARGIN * contract.overload_multiple * warmth * share * window;
         // A share of less than one set-up: one in as many windows as make it up.
         machine.cold_sends.retain(|t| *t > self.now - window / budget.min(1.0));
         (machine.cold_sends.len() as f64) + 1.0 <= budget.max(1.0)
@@ -565,8 +575,8 @@
         let Some(call) = self.calls.remove(id) else { return };
         self.expect_redial(&call);
         // The later the redial, the better for the processors.
-        let stay_away = self.set.limits.retry_after.then_some(self.set.limits.max_retry_after);
-        let refusal = Action::Refuse { call: id.clone(), stay_away };
+        let stay_away = self.set.limits.retry_after_allowed.then_some(self.set.limits.max_retry_after);
+        let refusal = Action::Refuse { call: id.clone(), hold_off: stay_away };
         out.push(if call.doubtful { Action::Fail(id.clone()) } else { refusal });
     }
 
@@ -577,27 +587,27 @@
             self.calls.iter().filter(|(_, c)| !c.stands).map(|(id, _)| id.clone()).collect();
         for id in open {
             let Some(call) = self.calls.get_mut(&id) else { continue };
-            let safe = self.set.classes[call.class].effect == Effect::Safe;
+            let safe = self.set.classes[call.class].idempotency == Idempotency::Safe;
             call.doubtful |= call.out.is_some() && !safe;
             self.refuse(&id, out);
         }
     }
 
     fn expect_redial(&mut self, call: &Call) {
-        if !call.stands && !call.offer.transit {
-            self.redials.insert(call.offer.number.clone(), call.dialled);
+        if !call.stands && !call.offer.is_transit {
+            self.redials.insert(call.offer.called_number.clone(), call.dialled);
         }
     }
 
     /// λs is learned from what is ours: delay toward a place that is shut for itself says nothing of us.
-    fn note_own(&mut self, place: Place, delay: f64) {
+    fn note_own(&mut self, place: NodeNumber, delay: f64) {
         if self.own_window.size < 1.0 || self.far.get(&place).is_none_or(|f| f.window.size >= 1.0) {
             self.own.note(delay);
         }
     }
 
     /// A set-up is answered, one way or other: it leaves the windows.
-    fn answered(&mut self, place: Place, took: f64) {
+    fn answered(&mut self, place: NodeNumber, took: f64) {
         self.own_window.answered(took, self.now, TRIAL * self.spell);
         let far = self.far.get_mut(&place).into_iter();
         far.for_each(|f| f.window.answered(took, self.now, TRIAL * self.spell));
@@ -608,7 +618,8 @@
         let Some(attempt) = call.out.as_ref().filter(|_| !call.stands) else { return };
         let (place, sent, counted, overdue) = (attempt.place, attempt.at, attempt.counted, attempt.overdue);
         call.stands = true;
-        let (number, delay, dest) = (call.offer.number.clone(), took / call.aim, call.offer.dest);
+        let (number, delay, dest) =
+            (call.offer.called_number.clone(), took / call.aim, call.offer.destination);
         if place != dest {
             self.far.entry(dest).or_default().ways.insert(place, (0.0, 0.0));
         }
@@ -633,75 +644,86 @@
     }
 
     fn on_ended(&mut self, outcome: &Outcome, out: &mut Vec<Action>) {
-        self.read_report(&outcome.exchange, &outcome.report, false);
+        self.read_report(&outcome.exchange, &outcome.load_report, false);
         let Some(call) = self.calls.get_mut(&outcome.call) else { return };
-        let Some(attempt) = call.out.take_if(|_| outcome.seq + 1 == call.attempts) else { return };
-        if outcome.status == Status::Moot {
+        let Some(attempt) = call.out.take_if(|_| outcome.attempt_number + 1 == call.attempts) else { return };
+        if outcome.status == AttemptStatus::Moot {
             // The other end took the last circuit first: the way itself stays open to this call.
             call.tried.retain(|p| *p != attempt.place);
-            if matches!(outcome.cause, Some(Cause::ProcessorFull(_))) {
+            if matches!(outcome.failure_cause, Some(FailureCause::ProcessorFull(_))) {
                 // The own processor is down: half a window, so one trial a cycle and no other call is spent.
                 self.own_window.size = self.own_window.size.min(0.5);
             } else if let Some(far) = self.far.get_mut(&attempt.place).filter(|f| f.free.is_some()) {
                 far.free = Some(0.0);
             }
         }
-        let (stood, dest) = (std::mem::take(&mut call.stands), call.offer.dest);
-        let (number, aim) = (call.offer.number.clone(), call.aim);
+        let (stood, dest) = (std::mem::take(&mut call.stands), call.offer.destination);
+        let (number, aim) = (call.offer.called_number.clone(), call.aim);
         if !stood {
-            let took = outcome.took.as_secs_f64();
-            let full = matches!(outcome.cause, Some(Cause::ProcessorFull(_)));
-            let failed = outcome.status != Status::Full || full;
+            let took = outcome.elapsed.as_secs_f64();
+            let full = matches!(outcome.failure_cause, Some(FailureCause::ProcessorFull(_)));
+            let failed = outcome.status != AttemptStatus::Full || full;
             if attempt.counted {
                 self.answered(attempt.place, if failed { took.max(self.spell) } else { took });
             }
             // Whose fault: the processor sent to, or with a tandem that turned back the one beyond it.
-            let blamed = match (outcome.status, outcome.cause) {
-                (_, Some(Cause::TurnedBackFull)) => Some(dest),
-                (Status::TimedOut, _) => (!attempt.excused).then_some(attempt.place),
-                (Status::Full, _) if !full => None,
-                (Status::Full | Status::Reset | Status::Unreachable, _) => Some(attempt.place),
+            let blamed = match (outcome.status, outcome.failure_cause) {
+                (_, Some(FailureCause::DestinationFull)) => Some(dest),
+                (AttemptStatus::TimedOut, _) => (!attempt.excused).then_some(attempt.place),
+                (AttemptStatus::Full, _) if !full => None,
+                (AttemptStatus::Full | AttemptStatus::Reset | AttemptStatus::Unreachable, _) => {
+                    Some(attempt.place)
+                }
                 _ => None,
             };
             if let Some(far) = blamed.and_then(|place| self.far.get_mut(&place)) {
                 far.window.shrink(FAILED, self.now, self.spell);
             }
-            if matches!(outcome.cause, Some(Cause::TurnedBack | Cause::TurnedBackFull)) {
+            if matches!(
+                outcome.failure_cause,
+                Some(FailureCause::CrankedBack | FailureCause::DestinationFull)
+            ) {
                 let way = self.far.entry(dest).or_default().ways.entry(attempt.place).or_default();
                 let rest = (2.0 * way.0).clamp(CRANKED.0 * self.spell, CRANKED.1 * self.spell);
                 *way = if self.now > way.1 { (rest, self.now + rest) } else { *way };
             }
-            if outcome.status == Status::TimedOut {
+            if outcome.status == AttemptStatus::TimedOut {
                 self.note_own(attempt.place, (took / aim).max(1.0) + 0.01);
             }
         }
-        if outcome.cause == Some(Cause::LinesBusy) {
+        if outcome.failure_cause == Some(FailureCause::UserBusy) {
             self.note_number(&number, true);
         }
         let Some(call) = self.calls.get_mut(&outcome.call) else { return };
-        if outcome.complete {
+        if outcome.call_ended {
             self.calls.remove(&outcome.call);
             return self.release(out);
         }
-        let guarded = matches!(outcome.status, Status::TimedOut | Status::Reset | Status::Cancelled);
+        let guarded = matches!(
+            outcome.status,
+            AttemptStatus::TimedOut | AttemptStatus::Reset | AttemptStatus::Cancelled
+        );
         if guarded {
-            call.guard_until = self.now + self.set.guard.as_secs_f64() + self.set.tick.as_secs_f64();
+            call.guard_until = self.now + self.set.guard_time.as_secs_f64() + self.set.tick.as_secs_f64();
         }
-        let safe = self.set.classes[call.class].effect == Effect::Safe;
-        let ran = matches!(outcome.status, Status::Ended | Status::Error);
+        let safe = self.set.classes[call.class].idempotency == Idempotency::Safe;
+        let ran = matches!(outcome.status, AttemptStatus::Ended | AttemptStatus::Error);
         call.doubtful |= !safe && (guarded || ran);
-        let full = matches!(outcome.cause, Some(Cause::TurnedBackFull | Cause::ProcessorFull(_)));
-        if full || outcome.status == Status::Error {
+        let full = matches!(
+            outcome.failure_cause,
+            Some(FailureCause::DestinationFull | FailureCause::ProcessorFull(_))
+        );
+        if full || outcome.status == AttemptStatus::Error {
             // No way leads round a full processor or busy lines; what merely failed goes again in time.
-            let busy = full || outcome.cause == Some(Cause::LinesBusy);
+            let busy = full || outcome.failure_cause == Some(FailureCause::UserBusy);
             let pause = if busy { self.spell } else { call.aim / 40.0 };
             call.guard_until = call.guard_until.max(self.now + pause);
         }
         let guard_until = call.guard_until;
         // One that ended unanswered has run its course: its answer was lost, and may still come.
-        let over = outcome.status == Status::Ended || call.doubtful;
+        let over = outcome.status == AttemptStatus::Ended || call.doubtful;
         let given_up = over || call.attempts >= self.set.limits.max_attempts;
-        if call.offer.transit || given_up || guard_until >= call.held_until {
+        if call.offer.is_transit || given_up || guard_until >= call.held_until {
             self.refuse(&outcome.call, out);
         } else if guard_until > self.now {
             call.tried.clear();
@@ -719,8 +741,8 @@
     /// Guards against lost answers and lost signalling, toward one place among busier ones too. Harm: a
     /// processor that has just become slow gets some set-ups twice.
     fn call_off(&mut self, id: &CallId, out: &mut Vec<Action>) {
-        let Some(call) = self.calls.get_mut(id).filter(|c| !c.stands && !c.offer.transit) else { return };
-        let safe = self.set.classes[call.class].effect == Effect::Safe;
+        let Some(call) = self.calls.get_mut(id).filter(|c| !c.stands && !c.offer.is_transit) else { return };
+        let safe = self.set.classes[call.class].idempotency == Idempotency::Safe;
         let Some(attempt) = call.out.as_mut().filter(|a| a.counted) else { return };
         let Some(far) = self.far.get_mut(&attempt.place) else { return };
         let usual = far.setup.max(self.setup);
@@ -729,12 +751,12 @@
         }
         far.silent = true;
         attempt.excused = far.lossy.max(self.lossy) > LOSSY;
-        let again_at = self.now + self.set.guard.as_secs_f64() + usual;
-        if safe && attempt.excused && self.set.limits.cancelling && again_at < call.dialled + call.aim {
+        let again_at = self.now + self.set.guard_time.as_secs_f64() + usual;
+        if safe && attempt.excused && self.set.limits.cancel_allowed && again_at < call.dialled + call.aim {
             attempt.counted = false;
             let (place, seq) = (attempt.place, call.attempts - 1);
             self.answered(place, usual);
-            out.push(Action::Cancel { call: id.clone(), seq });
+            out.push(Action::Cancel { call: id.clone(), attempt_number: seq });
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,43 +14,47 @@
     Duration::from_millis(n)
 }
 
-pub fn class(worth: f64, effect: Effect) -> Class {
+pub fn class(worth: f64, effect: Idempotency) -> Class {
     Class {
-        aim: ms(1200),
+        target_delay: ms(1200),
         deadline: ms(9000),
-        worth,
-        late_share: 0.1,
-        effect,
-        width: 1,
-        holding: ms(10_000),
+        value: worth,
+        late_value_share: 0.1,
+        idempotency: effect,
+        circuits: 1,
+        mean_holding_time: ms(10_000),
         pools: Vec::new(),
     }
 }
 
 pub fn settings(fleet: u32) -> Settings {
     Settings {
-        classes: vec![class(1.0, Effect::Safe), class(5.0, Effect::Safe), class(1.0, Effect::Unsafe)],
+        classes: vec![
+            class(1.0, Idempotency::Safe),
+            class(5.0, Idempotency::Safe),
+            class(1.0, Idempotency::Unsafe),
+        ],
         tenants: Vec::new(),
-        over_share_worth: 0.2,
+        over_quota_value_share: 0.2,
         fleet_size: fleet,
-        me: 0,
-        topology: Topology::Meshed(Place(0)),
-        guard: GUARD,
-        resend: ms(500),
-        contract: Contract {
+        controller_number: 0,
+        topology: Topology::Meshed(NodeNumber(0)),
+        guard_time: GUARD,
+        resend_interval: ms(500),
+        rules: RuleSettings {
             drain_grace: ms(1000),
-            cold_from: 0.3,
-            cold: ms(13_000),
-            fall_multiple: 4.0,
-            fall: ms(2000),
-            ask_within: ms(10_000),
+            cold_capacity_share: 0.3,
+            warm_up_time: ms(13_000),
+            overload_multiple: 4.0,
+            overload_window: ms(2000),
+            max_poll_interval: ms(10_000),
         },
-        limits: Limits { max_attempts: 5, cancelling: true, ..Limits::default() },
-        gauges: vec![Gauge::Spare, Gauge::Total],
+        limits: PolicyLimits { max_attempts: 5, cancel_allowed: true, ..PolicyLimits::default() },
+        gauges: vec![Gauge::FreeCircuits, Gauge::TotalCircuits],
         penalties: Penalties::default(),
-        registry_asks: false,
-        marks_retry: false,
-        advice: false,
+        registry_polled: false,
+        redials_flagged: false,
+        has_route_advice: false,
         tick: ms(5),
     }
 }
@@ -59,8 +63,8 @@
     ExchangeId(format!("10.0.0.{place}:5000").into())
 }
 
-pub fn entry(place: u32, health: Health, up_since: Option<Duration>) -> Entry {
-    Entry { exchange: exchange(place), place: Place(place), zone: 0, health, up_since }
+pub fn entry(place: u32, health: Health, up_since: Option<Duration>) -> DirectoryEntry {
+    DirectoryEntry { exchange: exchange(place), node: NodeNumber(place), zone: 0, health, up_since }
 }
 
 struct Open {
@@ -79,11 +83,11 @@
     pub sent: Vec<(CallId, u32, ExchangeId, Duration, Duration)>,
     pub answered: BTreeMap<CallId, bool>,
     pub health: BTreeMap<ExchangeId, Health>,
-    timers: Vec<(Duration, Token)>,
+    timers: Vec<(Duration, TimerToken)>,
     open: BTreeMap<CallId, Open>,
     calls: u32,
     /// The centre's advice that comes with each call.
-    pub advice: Option<Place>,
+    pub advice: Option<NodeNumber>,
     guard: Duration,
     /// Circuits come back as set-ups stand or fail; until a test tells free circuits itself.
     plenty: bool,
@@ -91,7 +95,7 @@
 
 impl Net {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let (fleet, guard) = (settings.fleet_size, settings.guard);
+        let (fleet, guard) = (settings.fleet_size, settings.guard_time);
         let now = Duration::from_secs(1000);
         let mut net = Self {
             controller: Controller::new(settings, seed, now).unwrap(),
@@ -107,7 +111,7 @@
             guard,
             plenty: true,
         };
-        net.list(ListKind::Stored, (0..fleet).map(|p| entry(p, Health::Live, None)).collect());
+        net.list(UpdateKind::Stored, (0..fleet).map(|p| entry(p, Health::Live, None)).collect());
         net.refill();
         net
     }
@@ -124,7 +128,7 @@
 
     fn check(&mut self, action: &Action) {
         match action {
-            Action::Send { call, to, until } => {
+            Action::SendSetUp { call, exchange: to, give_up_at: until } => {
                 assert_eq!(self.health.get(to), Some(&Health::Live), "rule 3: {to:?}");
                 let open = self.open.get_mut(call).expect("rule 1: a send after the final answer");
                 assert!(open.out.is_none(), "rule 2: two attempts out");
@@ -141,23 +145,23 @@
                 assert!(self.now <= open.deadline + ms(20), "rule 1: answered too late");
                 self.answered.insert(call.clone(), false);
             }
-            Action::Timer { after, token } => self.timers.push((self.now + *after, *token)),
+            Action::StartTimer { after, token } => self.timers.push((self.now + *after, *token)),
             _ => {}
         }
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        if kind != ListKind::Changes {
+    pub fn list(&mut self, kind: UpdateKind, entries: Vec<DirectoryEntry>) -> Vec<Action> {
+        if kind != UpdateKind::Changes {
             self.health.clear();
         }
         for e in &entries {
             self.health.insert(e.exchange.clone(), e.health);
         }
-        self.event(Event::Directory { kind, entries: Arc::new(entries) })
+        self.event(Event::DirectoryUpdate { kind, entries: Arc::new(entries) })
     }
 
     pub fn list_failed(&mut self) {
-        self.event(Event::Directory { kind: ListKind::Failed, entries: Arc::default() });
+        self.event(Event::DirectoryUpdate { kind: UpdateKind::Failed, entries: Arc::default() });
     }
 
     fn refill(&mut self) {
@@ -170,7 +174,12 @@
     pub fn free(&mut self, place: u32, free: f64) {
         self.plenty = false;
         let report = vec![free, 30.0];
-        self.event(Event::Sampled { exchange: exchange(place), ok: true, took: Duration::ZERO, report });
+        self.event(Event::LoadReported {
+            exchange: exchange(place),
+            probe_answered: true,
+            elapsed: Duration::ZERO,
+            load_report: report,
+        });
     }
 
     pub fn offer(&mut self, dest: u32, class: usize) -> CallId {
@@ -195,20 +204,20 @@
         let deadline = self.now + remaining;
         let open = Open { deadline, out: None, attempts: 0, guard: Duration::ZERO };
         self.open.insert(call.clone(), open);
-        let offer = Offer {
+        let offer = OfferedCall {
             call: call.clone(),
             class,
             tenant: 0,
-            number: number.into(),
+            called_number: number.into(),
             remaining,
-            dest: Place(dest),
-            width: None,
+            destination: NodeNumber(dest),
+            circuits: None,
             via: self.advice,
-            again: false,
-            transit,
-            reconnect: false,
+            flagged_as_redial: false,
+            is_transit: transit,
+            is_reconnect: false,
         };
-        self.event(Event::Offered(offer));
+        self.event(Event::CallOffered(offer));
         call
     }
 
@@ -227,26 +236,36 @@
         self.open.remove(&call);
         self.answered.insert(call.clone(), true);
         let took = self.now - since;
-        let actions = self.event(Event::Stands { call, seq, exchange, took });
+        let actions =
+            self.event(Event::CallEstablished { call, attempt_number: seq, exchange, elapsed: took });
         if self.plenty {
             self.refill();
         }
         actions
     }
 
-    pub fn ends(&mut self, call: &CallId, status: Status, cause: Option<Cause>) -> Vec<Action> {
+    pub fn ends(&mut self, call: &CallId, status: AttemptStatus, cause: Option<FailureCause>) -> Vec<Action> {
         let at = self.sent.iter().position(|s| s.0 == *call).expect("nothing is out");
         let (call, seq, exchange, since, _) = self.sent.remove(at);
         if let Some(open) = self.open.get_mut(&call) {
             open.out = None;
-            if matches!(status, Status::TimedOut | Status::Reset | Status::Cancelled) {
+            if matches!(status, AttemptStatus::TimedOut | AttemptStatus::Reset | AttemptStatus::Cancelled) {
                 open.guard = self.now + self.guard;
             }
         }
         let took = self.now - since;
         let report = Vec::new();
-        let outcome = Outcome { call, seq, exchange, status, took, complete: false, cause, report };
-        let actions = self.event(Event::Ended(outcome));
+        let outcome = Outcome {
+            call,
+            attempt_number: seq,
+            exchange,
+            status,
+            elapsed: took,
+            call_ended: false,
+            failure_cause: cause,
+            load_report: report,
+        };
+        let actions = self.event(Event::AttemptEnded(outcome));
         if self.plenty {
             self.refill();
         }
@@ -261,13 +280,13 @@
             let late: Vec<CallId> =
                 self.sent.iter().filter(|s| s.4 <= self.now).map(|s| s.0.clone()).collect();
             for call in late {
-                self.ends(&call, Status::TimedOut, None);
+                self.ends(&call, AttemptStatus::TimedOut, None);
             }
             let now = self.now;
             let (due, later) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= now);
             self.timers = later;
             for (_, token) in due {
-                self.event(Event::Timer(token));
+                self.event(Event::TimerExpired(token));
             }
             let forgotten = self.open.iter().find(|(_, o)| self.now > o.deadline + ms(20));
             assert!(forgotten.is_none(), "rule 1: no answer in time for {:?}", forgotten.map(|f| f.0));
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use quartzspindle::call::exchanges::Exchanges;
-use quartzspindle::interface::{Entry, ExchangeId, Health, ListKind, Place};
+use quartzspindle::interface::{DirectoryEntry, ExchangeId, Health, NodeNumber, UpdateKind};
 use rstest::rstest;
 use stand::*;
 
@@ -160,19 +160,19 @@
 fn an_exchange_that_has_gone_is_forgotten() {
     let mut list = Exchanges::default();
     for n in 0..1000 {
-        let entry = |n: u32, health| Entry {
+        let entry = |n: u32, health| DirectoryEntry {
             exchange: ExchangeId(format!("s-{n:08x}").into()),
-            place: Place(n % 3),
+            node: NodeNumber(n % 3),
             zone: 0,
             health,
             up_since: None,
         };
-        let gone = list.apply(ListKind::Changes, &[entry(n, Health::Live), entry(n + 1, Health::Gone)]);
+        let gone = list.apply(UpdateKind::Changes, &[entry(n, Health::Live), entry(n + 1, Health::Gone)]);
         assert!(gone.is_empty());
-        assert_eq!(list.apply(ListKind::Changes, &[entry(n, Health::Gone)]).len(), 1);
+        assert_eq!(list.apply(UpdateKind::Changes, &[entry(n, Health::Gone)]).len(), 1);
     }
     assert_eq!(list.lines().count(), 0);
-    assert!(list.serves(Place(2)) && !list.serves(Place(3)));
+    assert!(list.serves(NodeNumber(2)) && !list.serves(NodeNumber(3)));
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -28,10 +28,10 @@
 #[test]
 fn a_draining_exchange_gets_nothing_new() {
     let mut net = Net::new(settings(3), 1);
-    net.list(ListKind::Changes, vec![entry(1, Health::Draining, None)]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Draining, None)]);
     let call = net.offer(1, 0);
     assert_ne!(net.out(&call), Some(exchange(1)));
-    net.list(ListKind::Full, vec![entry(0, Health::Live, None), entry(1, Health::Live, None)]);
+    net.list(UpdateKind::Full, vec![entry(0, Health::Live, None), entry(1, Health::Live, None)]);
     let call = net.offer(2, 0);
     assert_eq!(net.out(&call), None, "an exchange missing from a full list is gone");
 }
@@ -40,7 +40,7 @@
 fn a_cold_exchange_gets_only_this_senders_share_over_any_window() {
     let mut net = Net::new(settings(4), 1);
     let up = net.now;
-    net.list(ListKind::Changes, vec![entry(1, Health::Live, Some(up))]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Live, Some(up))]);
     let mut sends: Vec<Duration> = Vec::new();
     for _ in 0..300 {
         let call = net.offer(1, 0);
@@ -65,7 +65,7 @@
 fn a_cold_exchange_gets_more_the_warmer_it_may_be() {
     let mut net = Net::new(settings(4), 1);
     let up = net.now;
-    net.list(ListKind::Changes, vec![entry(1, Health::Live, Some(up))]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Live, Some(up))]);
     let mut halves = [0, 0];
     for i in 0..640 {
         net.offer(1, 0);
@@ -95,7 +95,7 @@
         sent
     };
     drive(&mut net, 500);
-    net.list(ListKind::Changes, vec![entry(1, Health::Live, Some(net.now))]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Live, Some(net.now))]);
     let first = drive(&mut net, 100);
     // In 2 s: 0.9 x multiple 4 x cold share 0.3 x 1.5 x 50/s x 2 s = 162 at most; a quarter of 50/s would be 27.
     assert!((60..=162).contains(&first), "{first} set-ups of 100 in the first window");
@@ -123,7 +123,7 @@
     }
     assert!(flood(&mut net) > 350, "a warm one takes them");
     net.pass(ms(500));
-    net.list(ListKind::Changes, vec![entry(1, Health::Live, Some(net.now))]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Live, Some(net.now))]);
     let first = flood(&mut net);
     // As above 162, a fifth more for each of two cycles that saw the flood, and a ninth for half a second's warmth.
     assert!((100..=254).contains(&first), "{first} set-ups of 400 in half a second");
@@ -133,7 +133,7 @@
 fn of_ninety_senders_each_spreads_a_cold_share_below_one_set_up_over_several_windows() {
     let mut net = Net::new(settings(90), 1);
     let up = net.now;
-    net.list(ListKind::Changes, vec![entry(1, Health::Live, Some(up))]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Live, Some(up))]);
     let mut sends = 0;
     for _ in 0..60 {
         let call = net.offer(1, 0);
@@ -152,7 +152,7 @@
     let mut net = Net::new(settings(4), 1);
     let call = net.offer(1, 0);
     net.pass(ms(100));
-    net.ends(&call, Status::Reset, None);
+    net.ends(&call, AttemptStatus::Reset, None);
     assert!(net.is_open(&call));
     net.pass(ms(295));
     assert_eq!(net.out(&call), None);
@@ -164,10 +164,10 @@
 fn an_unsafe_call_is_not_sent_again_once_it_may_have_run() {
     let mut net = Net::new(settings(4), 1);
     let call = net.offer(1, 2);
-    net.ends(&call, Status::Reset, None);
+    net.ends(&call, AttemptStatus::Reset, None);
     net.pass(ms(3000));
     assert!(net.log.contains(&Action::Fail(call.clone())), "failed, not refused");
-    let sends = net.log.iter().filter(|a| matches!(a, Action::Send { call: c, .. } if *c == call));
+    let sends = net.log.iter().filter(|a| matches!(a, Action::SendSetUp { call: c, .. } if *c == call));
     assert_eq!(sends.count(), 1);
 }
 
@@ -175,7 +175,7 @@
 /// again is harmless.
 #[test]
 fn an_unsafe_call_that_ended_before_its_answer_came_is_failed_not_refused() {
-    for status in [Status::Ended, Status::Error] {
+    for status in [AttemptStatus::Ended, AttemptStatus::Error] {
         let mut net = Net::new(settings(4), 1);
         let call = net.offer(1, 2);
         net.ends(&call, status, None);
@@ -199,16 +199,21 @@
             8 if rng.u8(..8) == 0 => {
                 let health = [Health::Live, Health::Live, Health::Draining, Health::Gone][rng.usize(..4)];
                 let up = rng.bool().then_some(net.now);
-                net.list(ListKind::Changes, vec![entry(place, health, up)]);
+                net.list(UpdateKind::Changes, vec![entry(place, health, up)]);
             }
             9..=15 if !net.sent.is_empty() => {
                 let call = net.sent[rng.usize(..net.sent.len())].0.clone();
-                let causes = [None, Some(Cause::NoCircuit), Some(Cause::TurnedBack), Some(Cause::LinesBusy)];
+                let causes = [
+                    None,
+                    Some(FailureCause::NoCircuit),
+                    Some(FailureCause::CrankedBack),
+                    Some(FailureCause::UserBusy),
+                ];
                 match rng.u32(0..8) {
-                    0 => drop(net.ends(&call, Status::Full, Some(Cause::ProcessorFull(None)))),
-                    1 => drop(net.ends(&call, Status::Reset, None)),
-                    2 => drop(net.ends(&call, Status::Full, causes[rng.usize(..4)])),
-                    3 => drop(net.ends(&call, Status::Error, causes[rng.usize(..4)])),
+                    0 => drop(net.ends(&call, AttemptStatus::Full, Some(FailureCause::ProcessorFull(None)))),
+                    1 => drop(net.ends(&call, AttemptStatus::Reset, None)),
+                    2 => drop(net.ends(&call, AttemptStatus::Full, causes[rng.usize(..4)])),
+                    3 => drop(net.ends(&call, AttemptStatus::Error, causes[rng.usize(..4)])),
                     _ => drop(net.stands(&call)),
                 }
             }
@@ -223,7 +228,7 @@
 fn rules_hold_under_random_events_and_the_same_events_give_the_same_actions() {
     for seed in 0..12 {
         let log = random_run(seed);
-        assert!(log.iter().filter(|a| matches!(a, Action::Send { .. })).count() > 100);
+        assert!(log.iter().filter(|a| matches!(a, Action::SendSetUp { .. })).count() > 100);
         assert_eq!(log, random_run(seed));
     }
 }
@@ -233,18 +238,35 @@
     let mut net = Net::new(settings(3), 1);
     let call = CallId("nobody".into());
     let exchange = ExchangeId("nowhere".into());
-    assert!(net.event(Event::CallerGone(call.clone())).is_empty());
-    assert!(net.event(Event::Timer(Token(987_654))).is_empty());
-    let stands = Event::Stands { call: call.clone(), seq: 3, exchange: exchange.clone(), took: ms(5) };
+    assert!(net.event(Event::CallAbandoned(call.clone())).is_empty());
+    assert!(net.event(Event::TimerExpired(TimerToken(987_654))).is_empty());
+    let stands = Event::CallEstablished {
+        call: call.clone(),
+        attempt_number: 3,
+        exchange: exchange.clone(),
+        elapsed: ms(5),
+    };
     assert!(net.event(stands).is_empty());
     let report = vec![-1.0, f64::NAN, 7.0, 8.0, 9.0];
-    let sampled =
-        Event::Sampled { exchange: exchange.clone(), ok: true, took: ms(5), report: report.clone() };
+    let sampled = Event::LoadReported {
+        exchange: exchange.clone(),
+        probe_answered: true,
+        elapsed: ms(5),
+        load_report: report.clone(),
+    };
     assert!(net.event(sampled).is_empty());
-    let status = Status::Full;
-    let outcome =
-        Outcome { call, seq: 0, exchange, status, took: ms(5), complete: false, cause: None, report };
-    assert!(net.event(Event::Ended(outcome)).is_empty());
+    let status = AttemptStatus::Full;
+    let outcome = Outcome {
+        call,
+        attempt_number: 0,
+        exchange,
+        status,
+        elapsed: ms(5),
+        call_ended: false,
+        failure_cause: None,
+        load_report: report,
+    };
+    assert!(net.event(Event::AttemptEnded(outcome)).is_empty());
 }
 
 #[test]
--- a/tests/symptoms.rs
+++ b/tests/symptoms.rs
@@ -9,7 +9,9 @@
 use quartzspindle::policy::Control;
 
 fn sends_to(log: &[Action], place: u32) -> usize {
-    log.iter().filter(|a| matches!(a, Action::Send { to, .. } if *to == exchange(place))).count()
+    log.iter()
+        .filter(|a| matches!(a, Action::SendSetUp { exchange: to, .. } if *to == exchange(place)))
+        .count()
 }
 
 /// Offers `n` calls to `dest`, `gap` apart; each set-up is answered after `took` if `answers`.
@@ -59,7 +61,7 @@
 #[test]
 fn trials_of_a_silent_exchange_come_as_often_as_short_aims_ask() {
     let mut quick = settings(3);
-    quick.classes.iter_mut().for_each(|c| c.aim = ms(500));
+    quick.classes.iter_mut().for_each(|c| c.target_delay = ms(500));
     let mut net = Net::new(quick, 1);
     drive(&mut net, 1, 120, ms(50), None);
     let mut tried = Vec::new();
@@ -108,7 +110,7 @@
             .filter(|c| net.out(c).is_some() && net.is_open(c))
             .collect();
         for call in off {
-            net.ends(&call, Status::Cancelled, None);
+            net.ends(&call, AttemptStatus::Cancelled, None);
         }
         stood = net.answered.values().filter(|s| **s).count();
     }
@@ -130,9 +132,9 @@
         }
         let off: Vec<CallId> = dropped.iter().map(|d| d.1.clone()).filter(|c| net.out(c).is_some()).collect();
         for call in off {
-            if net.log.contains(&Action::Cancel { call: call.clone(), seq: 0 }) {
+            if net.log.contains(&Action::Cancel { call: call.clone(), attempt_number: 0 }) {
                 let again = net.sent.iter().any(|s| s.0 == call && s.1 > 0);
-                drop(if again { net.stands(&call) } else { net.ends(&call, Status::Cancelled, None) });
+                drop(if again { net.stands(&call) } else { net.ends(&call, AttemptStatus::Cancelled, None) });
             }
         }
     }
@@ -157,8 +159,8 @@
 #[test]
 fn answers_lost_by_one_exchange_alone_are_made_good_within_short_aims() {
     let mut quick = settings(3);
-    quick.classes.iter_mut().for_each(|c| c.aim = ms(500));
-    quick.guard = ms(250);
+    quick.classes.iter_mut().for_each(|c| c.target_delay = ms(500));
+    quick.guard_time = ms(250);
     let mut net = Net::new(quick, 1);
     let (mut lost, mut stood) = (Vec::new(), 0);
     for i in 0..1500 {
@@ -174,8 +176,8 @@
             if first.is_none() || seq > 0 {
                 stood += u32::from(first.is_some_and(|l| i > 500 && net.now <= l.1 + ms(500)));
                 net.stands(&call);
-            } else if net.log.contains(&Action::Cancel { call: call.clone(), seq }) {
-                net.ends(&call, Status::Cancelled, None);
+            } else if net.log.contains(&Action::Cancel { call: call.clone(), attempt_number: seq }) {
+                net.ends(&call, AttemptStatus::Cancelled, None);
             }
         }
     }
@@ -221,10 +223,10 @@
     let mut net = Net::new(settings(3), 1);
     let call = net.offer(0, 0);
     let first = net.out(&call).expect("sent round");
-    net.ends(&call, Status::Full, Some(Cause::TurnedBack));
+    net.ends(&call, AttemptStatus::Full, Some(FailureCause::CrankedBack));
     let second = net.out(&call).expect("sent round the other way");
     assert!(first != second && ![&first, &second].contains(&&exchange(0)), "{first:?} {second:?}");
-    net.ends(&call, Status::Full, Some(Cause::TurnedBack));
+    net.ends(&call, AttemptStatus::Full, Some(FailureCause::CrankedBack));
     assert!(!net.is_open(&call), "no way is left");
 }
 
@@ -233,7 +235,7 @@
     let mut net = Net::new(settings(3), 1);
     net.free(1, 0.0);
     let call = net.offer(1, 0);
-    net.ends(&call, Status::Full, Some(Cause::TurnedBack));
+    net.ends(&call, AttemptStatus::Full, Some(FailureCause::CrankedBack));
     let next = net.offer(1, 0);
     assert_eq!(net.out(&call), None);
     assert_eq!(net.out(&next), None, "the next call does not try it either");
@@ -246,7 +248,7 @@
     net.free(1, 0.0);
     let calls: Vec<CallId> = (0..4).map(|_| net.offer(1, 0)).collect();
     assert!(calls.iter().all(|c| net.out(c) == Some(exchange(2))));
-    calls.iter().for_each(|c| drop(net.ends(c, Status::Full, Some(Cause::TurnedBack))));
+    calls.iter().for_each(|c| drop(net.ends(c, AttemptStatus::Full, Some(FailureCause::CrankedBack))));
     net.pass(ms(2000));
     let next = net.offer(1, 0);
     assert_eq!(net.out(&next), Some(exchange(2)), "the first rest is over");
@@ -263,7 +265,7 @@
         net.pass(ms(4000));
         let next = net.offer(1, 0);
         assert_eq!(net.out(&next), Some(way.clone()), "the way is known to have a second leg");
-        net.ends(&next, Status::Full, Some(Cause::TurnedBack));
+        net.ends(&next, AttemptStatus::Full, Some(FailureCause::CrankedBack));
         assert_ne!(net.out(&next), Some(way.clone()), "until it turns a call back");
     }
 }
@@ -271,12 +273,12 @@
 #[test]
 fn of_many_tandems_the_one_that_the_centre_saw_room_over_is_known_until_it_turns_a_call_back() {
     for seed in 0..8 {
-        let mut net = Net::new(Settings { advice: true, ..settings(90) }, seed);
-        net.advice = Some(Place(7));
+        let mut net = Net::new(Settings { has_route_advice: true, ..settings(90) }, seed);
+        net.advice = Some(NodeNumber(7));
         net.free(1, 0.0);
         let call = net.offer(1, 0);
         assert_eq!(net.out(&call), Some(exchange(7)));
-        net.ends(&call, Status::Full, Some(Cause::TurnedBack));
+        net.ends(&call, AttemptStatus::Full, Some(FailureCause::CrankedBack));
         let next = net.offer(1, 0);
         assert_ne!(net.out(&next), Some(exchange(7)), "old advice does not end its rest");
         assert!(net.out(&next).is_some());
@@ -287,7 +289,7 @@
 fn a_busy_number_rests_while_other_numbers_go_on() {
     let mut net = Net::new(settings(2), 1);
     let call = net.offer(1, 0);
-    net.ends(&call, Status::Error, Some(Cause::LinesBusy));
+    net.ends(&call, AttemptStatus::Error, Some(FailureCause::UserBusy));
     let sends = sends_to(&net.log, 1);
     for _ in 0..49 {
         let other = net.offer(1, 0);
@@ -335,11 +337,11 @@
 #[test]
 fn a_destination_without_a_live_machine_is_waited_for() {
     let mut net = Net::new(settings(3), 1);
-    net.list(ListKind::Changes, vec![entry(1, Health::Draining, None)]);
+    net.list(UpdateKind::Changes, vec![entry(1, Health::Draining, None)]);
     let call = net.offer(1, 0);
     assert!(net.out(&call).is_none() && net.is_open(&call));
-    let replacement = Entry { exchange: exchange(91), ..entry(1, Health::Live, None) };
-    net.list(ListKind::Changes, vec![replacement]);
+    let replacement = DirectoryEntry { exchange: exchange(91), ..entry(1, Health::Live, None) };
+    net.list(UpdateKind::Changes, vec![replacement]);
     net.pass(ms(600));
     assert_eq!(net.out(&call), Some(exchange(91)));
 }
@@ -350,7 +352,7 @@
     net.free(1, 5.0);
     net.free(2, 5.0);
     let trial = net.offer(1, 0);
-    net.ends(&trial, Status::Moot, Some(Cause::ProcessorFull(None)));
+    net.ends(&trial, AttemptStatus::Moot, Some(FailureCause::ProcessorFull(None)));
     let other = net.offer(2, 0);
     assert!(net.out(&other).is_none() && net.is_open(&other), "held, not spent");
     net.pass(ms(600));
@@ -371,7 +373,7 @@
             net.offer(1 + i % places, 0);
             net.pass(ms(100));
         }
-        net.log.iter().filter(|a| matches!(a, Action::Send { .. })).count()
+        net.log.iter().filter(|a| matches!(a, Action::SendSetUp { .. })).count()
     };
     // Five silent places at once are the own processor's trouble: not five times one place's trials.
     assert!(slow(5) < 3 * slow(1), "{} against {}", slow(5), slow(1));
@@ -383,7 +385,7 @@
     for _ in 0..3000 {
         let call = net.offer(1, 0);
         if net.out(&call).is_some() {
-            net.ends(&call, Status::Error, Some(Cause::LinesBusy));
+            net.ends(&call, AttemptStatus::Error, Some(FailureCause::UserBusy));
         }
         net.pass(ms(5));
     }
@@ -431,8 +433,8 @@
 
 #[test]
 fn a_registry_that_refuses_is_asked_again_once_a_cycle_and_the_list_is_kept() {
-    let mut net = Net::new(Settings { registry_asks: true, ..settings(3) }, 1);
-    let asked = |net: &Net| net.log.iter().filter(|a| **a == Action::Watch).count();
+    let mut net = Net::new(Settings { registry_polled: true, ..settings(3) }, 1);
+    let asked = |net: &Net| net.log.iter().filter(|a| **a == Action::Subscribe).count();
     assert_eq!(asked(&net), 1);
     for _ in 0..20 {
         net.list_failed();
