--- a/tests/symptoms.rs
+++ b/tests/symptoms.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use quartzspindle::interface::*;
-use quartzspindle::policy::Control;
+use quartzspindle::policy::AdmissionControl;
 
 fn sends_to(log: &[Action], place: u32) -> usize {
     log.iter()
@@ -390,45 +390,45 @@
         net.pass(ms(5));
     }
     net.pass(ms(20_000));
-    assert!(net.controller.footprint() < 200, "{}", net.controller.footprint());
+    assert!(net.controller.state_size() < 200, "{}", net.controller.state_size());
 }
 
 #[test]
 fn the_control_function_has_three_regions() {
     let near = |a: f64, b: f64| (a - b).abs() < 1e-9;
-    assert!(near(Control::function(5.0, 10.0), 12.0), "normal load: 1.2 safe");
-    assert!(near(Control::function(10.5, 10.0), 11.0), "transition: raised");
+    assert!(near(AdmissionControl::max_accepted_rate(5.0, 10.0), 12.0), "normal load: 1.2 safe");
+    assert!(near(AdmissionControl::max_accepted_rate(10.5, 10.0), 11.0), "transition: raised");
     // Overload: C - B X with C = 10 / 0.84 and B = 0.16 / 0.84.
-    assert!(near(Control::function(20.0, 10.0), (10.0 - 3.2) / 0.84));
-    assert!(near(Control::function(100.0, 10.0), 0.0), "never below nothing");
+    assert!(near(AdmissionControl::max_accepted_rate(20.0, 10.0), (10.0 - 3.2) / 0.84));
+    assert!(near(AdmissionControl::max_accepted_rate(100.0, 10.0), 0.0), "never below nothing");
 }
 
 #[test]
 fn the_smoothed_rate_lags_by_theta_and_counts_what_is_refused() {
-    let mut control = Control::default();
-    (control.offered, control.accepted) = (10.0, 2.0);
+    let mut control = AdmissionControl::default();
+    (control.offered_calls, control.accepted_calls) = (10.0, 2.0);
     control.end_cycle();
-    assert!((control.x - 4.0).abs() < 1e-9, "a fifth of 20 a second");
+    assert!((control.offered_rate - 4.0).abs() < 1e-9, "a fifth of 20 a second");
     control.end_cycle();
-    assert!((control.x - 3.2).abs() < 1e-9);
-    assert_eq!(control.limit, None, "no limit while the safe rate is unset");
+    assert!((control.offered_rate - 3.2).abs() < 1e-9);
+    assert_eq!(control.cycle_limit, None, "no limit while the safe rate is unset");
 }
 
 #[test]
 fn the_safe_rate_is_learned_down_and_up_with_a_floor_and_quiet_periods() {
-    let mut control = Control::default();
-    (0..300).for_each(|_| control.note(0.3));
-    control.end_period();
-    assert_eq!(control.safe, None, "short delays leave it unset");
-    (0..150).for_each(|_| control.note(0.9));
-    (0..150).for_each(|_| control.note(1.5));
-    control.end_period();
-    assert!((control.safe.unwrap() - 9.0).abs() < 1e-9, "0.9 of 150 in 15 s");
-    control.end_period();
-    assert!((control.safe.unwrap() - 9.9).abs() < 1e-9, "a period without set-ups is quiet");
-    (0..10).for_each(|_| control.note(9.0));
-    control.end_period();
-    assert!((control.safe.unwrap() - 3.0).abs() < 1e-9, "the floor");
+    let mut control = AdmissionControl::default();
+    (0..300).for_each(|_| control.record_delay(0.3));
+    control.end_learning_period();
+    assert_eq!(control.safe_rate, None, "short delays leave it unset");
+    (0..150).for_each(|_| control.record_delay(0.9));
+    (0..150).for_each(|_| control.record_delay(1.5));
+    control.end_learning_period();
+    assert!((control.safe_rate.unwrap() - 9.0).abs() < 1e-9, "0.9 of 150 in 15 s");
+    control.end_learning_period();
+    assert!((control.safe_rate.unwrap() - 9.9).abs() < 1e-9, "a period without set-ups is quiet");
+    (0..10).for_each(|_| control.record_delay(9.0));
+    control.end_learning_period();
+    assert!((control.safe_rate.unwrap() - 3.0).abs() < 1e-9, "the floor");
 }
 
 #[test]
