--- a/emulator/src/ledger.rs
+++ b/emulator/src/checker.rs
@@ -1,4 +1,4 @@
-//! What has passed on the sockets, call by call, and the rules that it must keep.
+//! Records the traffic on the sockets call by call and checks it against the rules of the protocol.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -203,9 +203,9 @@
     pub excused: u64,
 }
 
-/// Everything that has passed.
+/// Records the traffic of one run and the rules that it broke.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct RuleChecker {
     start: Instant,
     terms: Terms,
     calls: HashMap<String, Call>,
@@ -221,8 +221,8 @@
     pub counts: Counts,
 }
 
-impl Ledger {
-    /// An empty ledger.
+impl RuleChecker {
+    /// Returns a checker that has recorded nothing yet.
     pub fn new(terms: Terms) -> Self {
         Self {
             start: Instant::now(),
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::ledger::{Ledger, Request, Rule};
+use crate::checker::{Request, Rule, RuleChecker};
 use crate::scenario::Scenario;
 use crate::sip::{self, Message};
 
@@ -48,7 +48,7 @@
 /// All clients.
 pub struct Clients {
     me: Weak<Self>,
-    ledger: Rc<RefCell<Ledger>>,
+    checker: Rc<RefCell<RuleChecker>>,
     scenario: Rc<Scenario>,
     rng: RefCell<Rng>,
     router: SocketAddr,
@@ -61,10 +61,10 @@
 
 impl Clients {
     /// Starts the clients of a router.
-    pub fn start(ledger: Rc<RefCell<Ledger>>, scenario: Rc<Scenario>, router: SocketAddr) -> Rc<Self> {
+    pub fn start(checker: Rc<RefCell<RuleChecker>>, scenario: Rc<Scenario>, router: SocketAddr) -> Rc<Self> {
         let clients = Rc::new_cyclic(|me| Self {
             me: me.clone(),
-            ledger,
+            checker,
             rng: RefCell::new(Rng::with_seed(scenario.seed ^ 0xc11e)),
             router,
             next: Cell::new(0),
@@ -128,7 +128,7 @@
         self.connections.borrow_mut().remove(&number);
         self.kept.borrow_mut().retain(|n| *n != number);
         let excuse = closed_by_client.then_some("closed by its client");
-        let again = self.ledger.borrow_mut().on_client_connection_ended(number, excuse);
+        let again = self.checker.borrow_mut().on_client_connection_ended(number, excuse);
         for request in again {
             let me = self.clone();
             tokio::task::spawn_local(async move { me.send_alone(request, Pace::AtOnce).await });
@@ -145,10 +145,10 @@
             let written = match out {
                 Out::Message(bytes) => writer.write_all(&bytes).await,
                 Out::Request(request, pace) => {
-                    self.ledger.borrow_mut().on_request(request.clone(), number);
+                    self.checker.borrow_mut().on_request(request.clone(), number);
                     let written = write_paced(writer, &self.invite(&request), pace).await;
                     if written.is_ok() {
-                        self.ledger.borrow_mut().on_request_written(&request.call);
+                        self.checker.borrow_mut().on_request_written(&request.call);
                         self.plan_patience(&request, number);
                     }
                     written
@@ -196,7 +196,7 @@
                 me.send(number, if resets { Out::Reset } else { Out::Close });
                 return;
             }
-            me.ledger.borrow_mut().on_withdrawn(&call);
+            me.checker.borrow_mut().on_withdrawn(&call);
             me.send(number, Out::Message(sip::request("CANCEL", "1", &call, "", "")));
         });
     }
@@ -218,7 +218,7 @@
     fn on_message(&self, message: &Message, number: u64) {
         let call = message.header("Call-ID").unwrap_or_default().to_owned();
         if message.first.starts_with("BYE ") {
-            self.ledger.borrow_mut().on_released(&call);
+            self.checker.borrow_mut().on_released(&call);
             self.send(number, Out::Message(sip::bye_confirmed(&call)));
             return;
         }
@@ -226,7 +226,7 @@
         let to_invite = message.header("CSeq").is_some_and(|c| c.ends_with("INVITE"));
         let Some(status) = is_final.filter(|_| to_invite) else { return };
         let hold_off = message.header("X-Hold-Off").and_then(|v| v.parse().ok());
-        let stands = self.ledger.borrow_mut().on_answer(&call, status, &message.body, hold_off);
+        let stands = self.checker.borrow_mut().on_answer(&call, status, &message.body, hold_off);
         self.send(number, Out::Message(sip::request("ACK", "1", &call, "", "")));
         if stands {
             self.plan_hang_up(call, number);
@@ -236,7 +236,7 @@
     }
 
     fn plan_hang_up(&self, call: String, number: u64) {
-        let withdrawn = self.ledger.borrow().is_withdrawn(&call);
+        let withdrawn = self.checker.borrow().is_withdrawn(&call);
         let (hangs_up, after) = {
             let mut rng = self.rng.borrow_mut();
             (rng.u8(..6) == 0, Duration::from_millis(rng.u64(0..800)))
@@ -245,7 +245,7 @@
         tokio::task::spawn_local(async move {
             sleep(if withdrawn { Duration::ZERO } else { after }).await;
             if me.send(number, Out::Message(sip::request("BYE", "1", &call, "", ""))) {
-                me.ledger.borrow_mut().on_hung_up(&call);
+                me.checker.borrow_mut().on_hung_up(&call);
             }
         });
     }
@@ -319,7 +319,7 @@
     async fn send_alone(self: Rc<Self>, request: Request, pace: Pace) {
         let (call, wait) = (request.call.clone(), request.wait);
         let Ok(stream) = TcpStream::connect(self.router).await else {
-            return self.ledger.borrow_mut().on_not_taken(&call);
+            return self.checker.borrow_mut().on_not_taken(&call);
         };
         let (number, running) = self.clone().open(stream);
         self.send(number, Out::Request(request, pace));
@@ -370,11 +370,11 @@
         match timeout(OWED.saturating_sub(begun.elapsed()), stream.read(&mut input)).await {
             Err(_) => {
                 let text = format!("client of kind {kind}: no word and no close within 3 s");
-                self.ledger.borrow_mut().violate(Rule::BadClient, text);
+                self.checker.borrow_mut().violate(Rule::BadClient, text);
             }
             Ok(Ok(n)) if String::from_utf8_lossy(&input[..n]).starts_with("SIP/2.0 200") => {
                 let text = format!("client of kind {kind}: answered 200");
-                self.ledger.borrow_mut().violate(Rule::BadClient, text);
+                self.checker.borrow_mut().violate(Rule::BadClient, text);
             }
             Ok(_) => {}
         }
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::ledger::Ledger;
+use crate::checker::RuleChecker;
 use crate::scenario::{Party, Scenario};
 
 /// An empty frame follows each second.
@@ -60,7 +60,7 @@
 
 /// The coordinator.
 pub struct Coordinator {
-    ledger: Rc<RefCell<Ledger>>,
+    checker: Rc<RefCell<RuleChecker>>,
     /// The changes since the first list.
     pub events: RefCell<Vec<Event>>,
     mode: Cell<Mode>,
@@ -75,9 +75,9 @@
 
 impl Coordinator {
     /// A coordinator that serves.
-    pub fn new(ledger: Rc<RefCell<Ledger>>, scenario: &Scenario) -> Rc<Self> {
+    pub fn new(checker: Rc<RefCell<RuleChecker>>, scenario: &Scenario) -> Rc<Self> {
         Rc::new(Self {
-            ledger,
+            checker,
             events: RefCell::default(),
             mode: Cell::new(Mode::Serving),
             current: watch::Sender::new(0),
@@ -111,11 +111,11 @@
     pub fn publish(&self, id: u32, place: u32, address: SocketAddr, state: State, born_ms: u64) {
         let number = self.last() + 1;
         self.events.borrow_mut().push(Event { number, id, place, address, state, born_ms });
-        let mut ledger = self.ledger.borrow_mut();
-        ledger.note(format!("membership {number}: s-{id:08x} at place {place} {state:?}"));
+        let mut checker = self.checker.borrow_mut();
+        checker.note(format!("membership {number}: s-{id:08x} at place {place} {state:?}"));
         match state {
-            State::Ready => ledger.on_listed_ready(id),
-            _ if self.mode.get() == Mode::Serving => ledger.on_told(id, Instant::now() + TOLD_AFTER),
+            State::Ready => checker.on_listed_ready(id),
+            _ if self.mode.get() == Mode::Serving => checker.on_told(id, Instant::now() + TOLD_AFTER),
             _ => {}
         }
     }
@@ -135,7 +135,7 @@
         self.mode.set(mode);
         tokio::time::sleep(length).await;
         self.mode.set(Mode::Serving);
-        self.ledger.borrow_mut().note("coordinator serves again");
+        self.checker.borrow_mut().note("coordinator serves again");
         self.note_told_by(Instant::now() + TOLD_AFTER);
     }
 
@@ -155,8 +155,8 @@
     /// Whatever drains or is gone counts as told from then on, if the coordinator can be reached.
     fn note_told_by(&self, at: Instant) {
         if self.mode.get() == Mode::Serving {
-            let mut ledger = self.ledger.borrow_mut();
-            self.out_of_service().into_iter().for_each(|id| ledger.on_told(id, at));
+            let mut checker = self.checker.borrow_mut();
+            self.out_of_service().into_iter().for_each(|id| checker.on_told(id, at));
         }
     }
 
@@ -204,7 +204,7 @@
                     self.write(&mut stream, &frame(&event)).await?;
                     last = event.number;
                     if event.state != State::Ready && self.out_of_service().contains(&event.id) {
-                        self.ledger.borrow_mut().on_told(event.id, Instant::now());
+                        self.checker.borrow_mut().on_told(event.id, Instant::now());
                     }
                     continue;
                 }
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -1,7 +1,7 @@
 //! An emulated booking exchange behind a faulty network: its scripted answers, and the proxy in front of it
 //! that cuts, delays, resets and chops what passes.
 //!
-//! The ledger sees each message where it passes the proxy on the router's side.
+//! The checker sees each message where it passes the proxy on the router's side.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::{sleep, Instant};
 
-use crate::ledger::{AttemptEnd, Ledger, Route, Rule, SetUp};
+use crate::checker::{AttemptEnd, Route, Rule, RuleChecker, SetUp};
 use crate::scenario::{Party, Scenario};
 
 /// The protocol's limit of connections to one exchange.
@@ -58,7 +58,7 @@
 /// An exchange.
 pub struct Exchange {
     me: Weak<Self>,
-    ledger: Rc<RefCell<Ledger>>,
+    checker: Rc<RefCell<RuleChecker>>,
     scenario: Rc<Scenario>,
     rng: RefCell<Rng>,
     /// Its place in the network.
@@ -101,12 +101,16 @@
     ///
     /// # Errors
     /// What the socket reports.
-    pub fn start(ledger: Rc<RefCell<Ledger>>, scenario: Rc<Scenario>, place: u32) -> io::Result<Rc<Self>> {
+    pub fn start(
+        checker: Rc<RefCell<RuleChecker>>,
+        scenario: Rc<Scenario>,
+        place: u32,
+    ) -> io::Result<Rc<Self>> {
         let listener = listen(scenario.address(Party::Exchanges))?;
         let address = listener.local_addr()?;
         let exchange = Rc::new_cyclic(|me| Self {
             me: me.clone(),
-            ledger,
+            checker,
             rng: RefCell::new(Rng::with_seed(scenario.seed * 1000 + u64::from(place))),
             scenario,
             place,
@@ -198,21 +202,21 @@
     pub fn die(&self, comes_back: bool) {
         self.is_dead.set(true);
         self.process.set(self.process.get() + 1);
-        let mut ledger = self.ledger.borrow_mut();
+        let mut checker = self.checker.borrow_mut();
         for (call, state) in self.calls.take() {
             match (state.stands, comes_back) {
-                (false, _) => ledger.on_attempt_end(&call, self.id(), AttemptEnd::Reset),
-                (true, false) => ledger.on_call_forgotten(&call),
+                (false, _) => checker.on_attempt_end(&call, self.id(), AttemptEnd::Reset),
+                (true, false) => checker.on_call_forgotten(&call),
                 (true, true) => {
-                    ledger.on_call_over(&call);
+                    checker.on_call_over(&call);
                     self.unconfirmed.borrow_mut().push(call);
                 }
             }
         }
         if !comes_back {
-            self.unconfirmed.take().iter().for_each(|call| ledger.on_call_forgotten(call));
+            self.unconfirmed.take().iter().for_each(|call| checker.on_call_forgotten(call));
         }
-        drop(ledger);
+        drop(checker);
         self.reset_connections();
     }
 
@@ -297,7 +301,7 @@
         let open = self.connections.borrow().len();
         if open > MAX_CONNECTIONS {
             let text = format!("{open} connections to the exchange at place {}", self.place);
-            self.ledger.borrow_mut().violate(Rule::Connections, text);
+            self.checker.borrow_mut().violate(Rule::Connections, text);
         }
     }
 
@@ -318,7 +322,7 @@
         self.connections.borrow_mut().remove(&number);
         // A closed connection gives up the set-ups open on it; calls that stand go on.
         self.calls.borrow_mut().retain(|_, s| s.connection != number || s.stands);
-        self.ledger.borrow_mut().on_route_ended(self.route(number));
+        self.checker.borrow_mut().on_route_ended(self.route(number));
     }
 
     fn route(&self, connection: u64) -> Route {
@@ -345,7 +349,7 @@
             while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = bytes.drain(..=end).collect();
                 let Ok(message) = serde_json::from_slice::<Value>(&line) else {
-                    self.ledger.borrow_mut().violate(Rule::Content, format!("no JSON line: {line:?}"));
+                    self.checker.borrow_mut().violate(Rule::Content, format!("no JSON line: {line:?}"));
                     continue;
                 };
                 self.observe(&message, begun, number);
@@ -363,7 +367,7 @@
     fn observe(&self, message: &Value, begun: Instant, number: u64) {
         let text = |v: &Value| v.as_str().unwrap_or_default().to_owned();
         let (call, opts) = (text(&message["tag"]), &message["opts"]);
-        let mut ledger = self.ledger.borrow_mut();
+        let mut checker = self.checker.borrow_mut();
         match message["verb"].as_str().unwrap_or_default() {
             "START" => {
                 let set_up = SetUp {
@@ -372,15 +376,17 @@
                     number: text(&opts["key"]),
                     description: text(&message["blob"]),
                 };
-                ledger.on_attempt(self.id(), self.route(number), begun, &set_up);
+                checker.on_attempt(self.id(), self.route(number), begun, &set_up);
                 if let Some(born) = self.born.get().filter(|b| b.elapsed().as_secs_f64() < COLD_S) {
                     let warmth = COLD_FROM + (1.0 - COLD_FROM) * born.elapsed().as_secs_f64() / COLD_S;
-                    ledger.on_cold_arrival(self.id(), 2.0 * CAPACITY_PER_S * warmth, Duration::from_secs(1));
+                    checker.on_cold_arrival(self.id(), 2.0 * CAPACITY_PER_S * warmth, Duration::from_secs(1));
                 }
             }
-            "FINISH" => ledger.on_attempt_end(&call, self.id(), AttemptEnd::GivenUp),
-            "FINISHED" => ledger.on_release_confirmed(&call),
-            "ECHO" => ledger.violate(Rule::Probe, format!("the exchange at place {} was probed", self.place)),
+            "FINISH" => checker.on_attempt_end(&call, self.id(), AttemptEnd::GivenUp),
+            "FINISHED" => checker.on_release_confirmed(&call),
+            "ECHO" => {
+                checker.violate(Rule::Probe, format!("the exchange at place {} was probed", self.place))
+            }
             _ => {}
         }
     }
@@ -400,7 +406,7 @@
                 return;
             }
             if let Told::AttemptEnded(call, end) = told {
-                self.ledger.borrow_mut().on_attempt_end(&call, self.id(), end);
+                self.checker.borrow_mut().on_attempt_end(&call, self.id(), end);
             }
         }
     }
@@ -522,14 +528,14 @@
         };
         let filler = if long { "m=audio 31000 RTP/AVP 0 8 101\r\n".repeat(300) } else { String::new() };
         let description = format!("{nonce:08x}\r\nc=IN IP4 10.4.7.9\r\n\"ž\\ \u{1}\r\n{filler}");
-        self.ledger.borrow_mut().on_description(call, &description);
+        self.checker.borrow_mut().on_description(call, &description);
         json!({"verb": "STARTED", "tag": call, "opts": {}, "blob": description}).to_string()
     }
 
     /// A call that stands comes to its end.
     fn release(&self, call: &str) {
         let Some(state) = self.calls.borrow_mut().remove(call) else { return };
-        self.ledger.borrow_mut().on_call_over(call);
+        self.checker.borrow_mut().on_call_over(call);
         self.unconfirmed.borrow_mut().push(call.to_owned());
         let line = || Out::Line(release_line(call), Told::Nothing);
         if !self.send(state.connection, line()) {
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -2,18 +2,18 @@
 //! coordinator, with seeded faults and a checker of the rules.
 //!
 //! One run plays one seed: [`scenario`] draws the settings and a timeline of faults, [`run`] plays it, and the
-//! [`ledger`] records what passes on the sockets and which rule was broken.
+//! [`checker`] records what passes on the sockets and which rule was broken.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
+pub mod checker;
 pub mod client;
 pub mod coordinator;
 pub mod exchange;
-pub mod ledger;
 pub mod router;
 pub mod run;
 pub mod scenario;
 pub mod sip;
 
-pub use ledger::Violation;
+pub use checker::Violation;
 pub use run::{play, Report};
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -15,10 +15,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
+use crate::checker::{Counts, Rule, RuleChecker, Violation};
 use crate::client::Clients;
 use crate::coordinator::{Coordinator, State};
 use crate::exchange::Exchange;
-use crate::ledger::{Counts, Ledger, Rule, Violation};
 use crate::router::{ConfigFile, Router};
 use crate::scenario::{Party, Scenario, Step};
 use crate::sip;
@@ -58,7 +58,7 @@
 
 struct Run {
     scenario: Rc<Scenario>,
-    ledger: Rc<RefCell<Ledger>>,
+    checker: Rc<RefCell<RuleChecker>>,
     coordinator: Rc<Coordinator>,
     exchanges: Vec<Rc<Exchange>>,
     clients: Rc<Clients>,
@@ -76,21 +76,21 @@
 pub async fn play(scenario: Scenario, program: &Path, dir: &Path) -> io::Result<Report> {
     let scenario = Rc::new(scenario);
     let seed = scenario.seed;
-    let ledger = Rc::new(RefCell::new(Ledger::new(scenario.terms.clone())));
-    let coordinator = Coordinator::new(ledger.clone(), &scenario);
+    let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.terms.clone())));
+    let coordinator = Coordinator::new(checker.clone(), &scenario);
     let address = coordinator.open().await?;
     let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchanges)
-        .map(|place| Exchange::start(ledger.clone(), scenario.clone(), place))
+        .map(|place| Exchange::start(checker.clone(), scenario.clone(), place))
         .collect::<io::Result<_>>()?;
     let listen = free_address(&scenario).await?;
     let mut config = ConfigFile::new(dir.join(format!("soak-{seed}.json")), &scenario, listen);
     config.set("coordinator", json!(address.to_string()));
     let log = dir.join(format!("soak-{seed}.log"));
     let _ = std::fs::remove_file(&log);
-    let clients = Clients::start(ledger.clone(), scenario.clone(), listen);
+    let clients = Clients::start(checker.clone(), scenario.clone(), listen);
     let run = Rc::new(Run {
         scenario: scenario.clone(),
-        ledger,
+        checker,
         coordinator,
         exchanges,
         clients,
@@ -104,7 +104,7 @@
     let supervisor = tokio::task::spawn_local(run.clone().supervise(receiver));
     run.clone().play_timeline(&orders).await;
     sleep(scenario.tail).await;
-    run.ledger.borrow_mut().finish();
+    run.checker.borrow_mut().finish();
     let _ = orders.send(Order::Finish);
     supervisor.await.map_err(io::Error::other)??;
     Ok(run.report())
@@ -116,18 +116,18 @@
 
 impl Run {
     fn report(&self) -> Report {
-        let ledger = self.ledger.borrow();
+        let checker = self.checker.borrow();
         Report {
             seed: self.scenario.seed,
-            violations: ledger.violations().to_vec(),
-            timeline: ledger.timeline().to_vec(),
-            counts: ledger.counts.clone(),
+            violations: checker.violations().to_vec(),
+            timeline: checker.timeline().to_vec(),
+            counts: checker.counts.clone(),
             peak: *self.peak.borrow(),
         }
     }
 
     fn note(&self, text: impl std::fmt::Display) {
-        self.ledger.borrow_mut().note(text);
+        self.checker.borrow_mut().note(text);
     }
 
     async fn play_timeline(self: Rc<Self>, orders: &mpsc::UnboundedSender<Order>) {
@@ -232,7 +232,7 @@
         config.set("known", known);
         config.write()?;
         let gone: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
-        self.ledger.borrow_mut().on_process_started(gone.into_iter());
+        self.checker.borrow_mut().on_process_started(gone.into_iter());
         self.note("router started");
         Router::start(&self.program, config.path(), &self.log)
     }
@@ -260,7 +260,7 @@
                 Order::Kill { restart_after } => {
                     ready.abort();
                     self.note("SIGKILL without warning");
-                    self.ledger.borrow_mut().on_killed(None);
+                    self.checker.borrow_mut().on_killed(None);
                     router.signal(Signal::KILL);
                     self.await_end(&mut router, None).await;
                     sleep(restart_after).await;
@@ -293,7 +293,7 @@
         let kill_at = term_at + longest.min(LONGEST_WAIT) + KILL_MARGIN;
         if !self.await_end(router, Some(kill_at)).await {
             self.note("SIGKILL");
-            self.ledger.borrow_mut().on_killed(Some(term_at));
+            self.checker.borrow_mut().on_killed(Some(term_at));
             router.signal(Signal::KILL);
             self.await_end(router, None).await;
         }
@@ -306,11 +306,11 @@
         while until.is_none_or(|at| Instant::now() < at) {
             if let Some(status) = router.ended() {
                 if status.code().is_some_and(|code| code != 0) {
-                    self.ledger.borrow_mut().violate(Rule::Crash, format!("the router ended with {status}"));
+                    self.checker.borrow_mut().violate(Rule::Crash, format!("the router ended with {status}"));
                 }
                 // Clients see their connections end before the process counts as ended.
                 sleep(POLL).await;
-                self.ledger.borrow_mut().on_process_ended();
+                self.checker.borrow_mut().on_process_ended();
                 return true;
             }
             sleep(Duration::from_millis(1)).await;
@@ -332,11 +332,11 @@
 
     /// Notes an unexpected end, and what the process holds.
     fn inspect(&self, router: &mut Router) {
-        let mut ledger = self.ledger.borrow_mut();
+        let mut checker = self.checker.borrow_mut();
         if let Some(status) = router.ended() {
-            let seen = ledger.violations().iter().any(|v| v.rule == Rule::Crash);
+            let seen = checker.violations().iter().any(|v| v.rule == Rule::Crash);
             if !seen {
-                ledger.violate(Rule::Crash, format!("the router ended by itself with {status}"));
+                checker.violate(Rule::Crash, format!("the router ended by itself with {status}"));
             }
             return;
         }
@@ -345,7 +345,7 @@
         *peak = (peak.0.max(memory), peak.1.max(descriptors));
         if memory > MEMORY_MB || descriptors > self.scenario.sockets as usize {
             let text = format!("{memory} MB and {descriptors} descriptors held");
-            ledger.violate(Rule::Limits, text);
+            checker.violate(Rule::Limits, text);
         }
     }
 
@@ -358,7 +358,7 @@
         };
         if timeout(READY_WITHIN, ready).await.is_err() {
             let text = format!("not ready within {READY_WITHIN:?}");
-            self.ledger.borrow_mut().violate(Rule::Crash, text);
+            self.checker.borrow_mut().violate(Rule::Crash, text);
         }
         self.note("router ready");
         // The first configuration change comes later than its first second.
