--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -6,376 +6,392 @@
 
 use tokio::time::Instant;
 
-use crate::scenario::{ClassTerms, Terms};
-
-/// What every limit of the rules on sockets is longer by.
-const SLACK: Duration = Duration::from_millis(50);
-/// An answer that comes so long after its request's time only earns nothing; later it is lost.
-const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// A request that crosses the close of its connection within this is sent again.
-const CROSSING: Duration = Duration::from_millis(50);
-/// What came so long after SIGTERM or later must be answered before the kill.
-const LATE_AFTER_SIGTERM: Duration = Duration::from_millis(700);
-/// A release is due so long after its exchange sent it.
-const RELEASE_DUE: Duration = Duration::from_secs(1);
-/// A release is due so long after the call's end if none could be sent.
-const UNSENT_RELEASE_DUE: Duration = Duration::from_secs(8);
-
-/// A rule of the protocol.
+use crate::scenario::{ClassSettings, RuleSettings};
+
+/// Tolerance added to every time limit that is checked on the sockets.
+const TIMING_TOLERANCE: Duration = Duration::from_millis(50);
+/// An answer up to this long after a request's deadline only costs the call's worth; after that the request
+/// counts as lost.
+const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
+/// A request written at most this long before its connection closed may have crossed the close. It is sent
+/// again instead of counting as lost.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
+/// A request sent more than this after SIGTERM must be answered before the SIGKILL; an earlier one is
+/// excused.
+const SIGTERM_EXCUSE_WINDOW: Duration = Duration::from_millis(700);
+/// Longest time from the router's confirmation of a release to its arrival at the client.
+const CONFIRMED_RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time from the end of a call to its release at the client if the router has not confirmed the
+/// release to the exchange.
+const UNCONFIRMED_RELEASE_TIMEOUT: Duration = Duration::from_secs(8);
+
+/// Rule of the protocol that the router has to keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Exactly one final answer to each request that was taken, in time.
+    /// Each request that was taken gets exactly one final answer before its deadline.
     LostRequest,
-    /// What is passed on is unchanged, and an answer 200 is what an exchange gave.
+    /// Set-ups are passed on unchanged, and a 200 carries a description that an exchange returned.
     Content,
-    /// One attempt out at a time; none after the final answer.
+    /// A call has at most one open attempt, and none after its final answer.
     OneAttempt,
-    /// Nothing goes out within the guard time of an attempt that was reset, timed out or cancelled.
+    /// No attempt is sent within the guard time after one that was reset, timed out or cancelled.
     Guard,
-    /// What a class forbids is not repeated or refused.
+    /// A call whose class is not safe to repeat is neither repeated nor refused once an attempt may have run.
     Repeat,
-    /// Nothing new to an exchange that drains or is gone.
+    /// No new set-up is sent to an exchange that drains or is gone.
     Drain,
-    /// A cold exchange is not sent more than it bears.
+    /// A newly started exchange is not sent more set-ups than it can handle during its slow start.
     SlowStart,
-    /// A call that is over is released towards its client.
+    /// The client is sent a release when its call has ended.
     Release,
-    /// At most four connections to an exchange.
+    /// The router keeps at most four connections to an exchange.
     Connections,
-    /// Descriptors and memory.
+    /// The process stays within its limits of descriptors and memory.
     Limits,
-    /// The process does not crash, and is ready in time.
+    /// The process does not crash and is ready soon after its start.
     Crash,
-    /// Clients that break the protocol get a refusal or a close, and never a 200.
+    /// Clients that break the protocol are refused or disconnected, and never get a 200.
     BadClient,
-    /// A refusal says how long to stay away.
+    /// A refusal tells the client in `X-Hold-Off` how long to wait before it tries again.
     HoldOff,
-    /// Exchanges are not probed.
+    /// The router sends no probes to exchanges.
     Probe,
 }
 
-/// A broken rule: which, when in the run, and what was seen.
+/// Breach of a rule that was seen during a run.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// The rule.
+    /// Rule that was broken.
     pub rule: Rule,
-    /// Time since the start of the run.
+    /// Time from the start of the run to the breach.
     pub at: Duration,
-    /// What was seen.
-    pub text: String,
+    /// Details for the report: the call, connection or exchange, and the times or counts seen.
+    pub detail: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:8.3} {:?}: {}", self.at.as_secs_f64(), self.rule, self.text)
+        write!(f, "{:8.3} {:?}: {}", self.at.as_secs_f64(), self.rule, self.detail)
     }
 }
 
-/// What a client asked for.
+/// Request of a client to set up a call.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Call id.
-    pub call: String,
-    /// Number of the class.
+    /// Value of `Call-ID`.
+    pub call_id: String,
+    /// Index of the call's class in [`RuleSettings::classes`].
     pub class: usize,
-    /// Number called.
-    pub number: String,
-    /// Description.
+    /// Telephone number that is called.
+    pub called_number: String,
+    /// Session description, sent as the body.
     pub description: String,
-    /// How long the client waits.
-    pub wait: Duration,
-    /// Place called.
-    pub dest: u32,
+    /// Time that the client waits for the final answer, sent in `X-Ring-Limit`.
+    pub ring_limit: Duration,
+    /// Place of the exchange that serves the called number.
+    pub destination: u32,
 }
 
-/// A set-up as it leaves the router.
+/// Set-up that the router sends to an exchange.
 #[derive(Debug, Clone)]
 pub struct SetUp {
-    /// Call id.
-    pub call: String,
-    /// Name of the class.
-    pub class: String,
-    /// Number called.
-    pub number: String,
-    /// Description.
+    /// Call id, sent as `tag`.
+    pub call_id: String,
+    /// Name of the call's class.
+    pub class_name: String,
+    /// Telephone number that is called, sent as `key`.
+    pub called_number: String,
+    /// Session description, sent as `blob`.
     pub description: String,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptEnd {
-    /// The call stands.
+pub enum AttemptOutcome {
+    /// The exchange answered the call.
     Answered,
-    /// It never ran: full or moot.
+    /// The exchange refused the set-up before it ran, for lack of capacity.
     NotRun,
-    /// It failed at the exchange.
+    /// The attempt ran and failed at the exchange.
     Failed,
-    /// It was reset, by the exchange or with its connection.
+    /// The attempt was reset by the exchange, or was open when its connection closed.
     Reset,
-    /// The router gave it up: timed out or cancelled.
-    GivenUp,
+    /// The router gave the attempt up after a timeout or a cancellation.
+    Abandoned,
 }
 
 #[derive(Debug)]
 struct Attempt {
     exchange: u32,
-    route: Route,
-    end: Option<(Instant, AttemptEnd)>,
+    connection: ExchangeConnection,
+    outcome: Option<(Instant, AttemptOutcome)>,
 }
 
-/// A connection to an exchange: its place, and the connection's number there.
+/// Identifies a connection from the router to an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Route {
+pub struct ExchangeConnection {
     /// Place of the exchange.
     pub place: u32,
-    /// Number of the connection.
-    pub connection: u64,
+    /// Number of the connection at that exchange.
+    pub number: u64,
 }
 
-/// How a call that stood came to its end.
+/// Progress of the release of an answered call that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Over {
-    /// The exchange released it and the router confirmed that at this time.
+enum ReleaseState {
+    /// The router confirmed the exchange's release at this time.
     Confirmed(Instant),
-    /// The exchange released it, or died.
+    /// The exchange released the call or stopped, and the router has confirmed no release.
     Unconfirmed,
 }
 
 #[derive(Debug)]
 struct Call {
     request: Request,
-    connection: u64,
-    /// When its last byte was written.
+    client_connection: u64,
+    /// Time when the last byte of the request was written.
     sent_at: Option<Instant>,
-    /// The process that took it.
-    life: u32,
-    withdrawn: bool,
+    /// Number of the router process that took the request.
+    process: u32,
+    cancelled: bool,
     resent: bool,
     answer: Option<(Instant, u16)>,
     attempts: Vec<Attempt>,
-    /// Descriptions that exchanges gave for it.
-    descriptions: Vec<String>,
-    over: Option<(Instant, Over)>,
+    /// Descriptions that exchanges returned for the call.
+    exchange_descriptions: Vec<String>,
+    ended: Option<(Instant, ReleaseState)>,
     released: bool,
-    /// Only the process that set it up knows of it any more.
-    is_forgotten: bool,
+    /// The exchange is gone, so only the router process that set the call up still knows of it.
+    is_orphaned: bool,
     excused: bool,
 }
 
 impl Call {
     fn is_open(&self) -> bool {
-        self.sent_at.is_some() && self.answer.is_none() && !self.withdrawn && !self.excused
+        self.sent_at.is_some() && self.answer.is_none() && !self.cancelled && !self.excused
     }
 
     fn may_have_run(&self) -> bool {
-        self.attempts.iter().any(|a| !matches!(a.end, Some((_, AttemptEnd::NotRun))))
+        self.attempts.iter().any(|a| !matches!(a.outcome, Some((_, AttemptOutcome::NotRun))))
     }
 }
 
-/// A process that was killed, and when it had been told to stop.
+/// SIGKILL of the router process, with the time of the SIGTERM before it, if there was one.
 #[derive(Debug, Clone, Copy)]
 struct Kill {
     terminated_at: Option<Instant>,
 }
 
 impl Kill {
-    fn excuses(self, sent: Instant) -> bool {
-        self.terminated_at.is_none_or(|term| sent <= term + LATE_AFTER_SIGTERM)
+    fn excuses(self, sent_at: Instant) -> bool {
+        self.terminated_at.is_none_or(|terminated_at| sent_at <= terminated_at + SIGTERM_EXCUSE_WINDOW)
     }
 }
 
-/// Counts of what has passed, for the report.
+/// Traffic counts for the report.
 #[derive(Debug, Default, Clone)]
 pub struct Counts {
-    /// Requests written.
+    /// Number of requests written in full.
     pub requests: u64,
-    /// Final answers by status.
+    /// Number of final answers by status.
     pub answers: BTreeMap<u16, u64>,
-    /// Attempts that reached an exchange.
+    /// Number of attempts that reached an exchange.
     pub attempts: u64,
-    /// Calls that stood and were released.
+    /// Number of releases that reached a client.
     pub releases: u64,
-    /// Requests that crossed a close and were sent again.
+    /// Number of requests that crossed the close of their connection and were sent again.
     pub resent: u64,
-    /// Answers that came after their client's time, though within the half second that only costs worth.
+    /// Number of answers that came after the request's deadline, including those that came so late that the
+    /// request counts as lost.
     pub late: u64,
-    /// Requests excused, since the process was killed outright or a client left.
+    /// Number of open requests that don't count as lost, since the process was killed or the client closed
+    /// the connection.
     pub excused: u64,
 }
 
 /// Records the traffic of one run and the rules that it broke.
 #[derive(Debug)]
 pub struct RuleChecker {
-    start: Instant,
-    terms: Terms,
+    started_at: Instant,
+    rules: RuleSettings,
     calls: HashMap<String, Call>,
-    /// When an exchange's draining or removal counts as told to the current process.
-    told: HashMap<u32, Instant>,
-    cold_arrivals: HashMap<u32, Vec<Instant>>,
-    life: u32,
-    lives_ended: HashMap<u32, Instant>,
-    killed: Option<Kill>,
+    /// Time from which the current router process counts as informed that an exchange drains or was removed.
+    drain_notified_at: HashMap<u32, Instant>,
+    slow_start_set_ups: HashMap<u32, Vec<Instant>>,
+    process: u32,
+    process_ends: HashMap<u32, Instant>,
+    kill: Option<Kill>,
     violations: Vec<Violation>,
     timeline: Vec<String>,
-    /// Counts for the report.
+    /// Traffic counts for the report.
     pub counts: Counts,
 }
 
 impl RuleChecker {
     /// Returns a checker that has recorded nothing yet.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(rules: RuleSettings) -> Self {
         Self {
-            start: Instant::now(),
-            terms,
+            started_at: Instant::now(),
+            rules,
             calls: HashMap::new(),
-            told: HashMap::new(),
-            cold_arrivals: HashMap::new(),
-            life: 0,
-            lives_ended: HashMap::new(),
-            killed: None,
+            drain_notified_at: HashMap::new(),
+            slow_start_set_ups: HashMap::new(),
+            process: 0,
+            process_ends: HashMap::new(),
+            kill: None,
             violations: Vec::new(),
             timeline: Vec::new(),
             counts: Counts::default(),
         }
     }
 
-    /// Notes a broken rule.
-    pub fn violate(&mut self, rule: Rule, text: String) {
-        let at = self.start.elapsed();
-        self.violations.push(Violation { rule, at, text });
+    /// Records that a rule was broken just now.
+    pub fn report_violation(&mut self, rule: Rule, detail: String) {
+        let at = self.started_at.elapsed();
+        self.violations.push(Violation { rule, at, detail });
     }
 
-    /// Notes an event for whoever reads the report.
-    pub fn note(&mut self, text: impl fmt::Display) {
-        self.timeline.push(format!("{:8.3} {text}", self.start.elapsed().as_secs_f64()));
+    /// Adds an event to the report's timeline, with the time since the start of the run.
+    pub fn record_event(&mut self, text: impl fmt::Display) {
+        self.timeline.push(format!("{:8.3} {text}", self.started_at.elapsed().as_secs_f64()));
     }
 
-    /// The events noted.
+    /// Returns the recorded events, oldest first.
     pub fn timeline(&self) -> &[String] {
         &self.timeline
     }
 
-    /// The broken rules so far.
+    /// Returns the breaches found so far, oldest first.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    fn class(&self, call: &Call) -> ClassTerms {
-        self.terms.classes[call.request.class]
+    fn class_of(&self, call: &Call) -> ClassSettings {
+        self.rules.classes[call.request.class]
     }
 
     // ---- clients ----------------------------------------------------------------------------------
 
-    /// A client begins to write a request.
-    pub fn on_request(&mut self, request: Request, connection: u64) {
-        let id = request.call.clone();
+    /// Records that a client begins to write a request, for the first time or on another connection.
+    pub fn on_request_started(&mut self, request: Request, connection: u64) {
+        let id = request.call_id.clone();
         if let Some(call) = self.calls.get_mut(&id) {
-            (call.connection, call.sent_at, call.resent) = (connection, None, true);
+            (call.client_connection, call.sent_at, call.resent) = (connection, None, true);
             return;
         }
         let call = Call {
             request,
-            connection,
+            client_connection: connection,
             sent_at: None,
-            life: self.life,
-            withdrawn: false,
+            process: self.process,
+            cancelled: false,
             resent: false,
             answer: None,
             attempts: Vec::new(),
-            descriptions: Vec::new(),
-            over: None,
+            exchange_descriptions: Vec::new(),
+            ended: None,
             released: false,
-            is_forgotten: false,
+            is_orphaned: false,
             excused: false,
         };
         self.calls.insert(id, call);
     }
 
-    /// The last byte of a request is written: it is taken.
+    /// Records that the last byte of a request was written; from then on the router owes it an answer.
     pub fn on_request_written(&mut self, id: &str) {
         self.counts.requests += 1;
         if let Some(call) = self.calls.get_mut(id) {
             call.sent_at = Some(Instant::now());
-            call.life = self.life;
+            call.process = self.process;
         }
     }
 
-    /// The client gives a request up.
-    pub fn on_withdrawn(&mut self, id: &str) {
+    /// Records that the client cancels a request.
+    pub fn on_cancelled(&mut self, id: &str) {
         if let Some(call) = self.calls.get_mut(id) {
-            call.withdrawn = true;
+            call.cancelled = true;
         }
     }
 
-    /// A final answer has arrived; true if the call stands for its client.
+    /// Checks a final answer that reached a client. Returns `true` if the call was answered with 200.
     pub fn on_answer(&mut self, id: &str, status: u16, body: &str, hold_off: Option<u64>) -> bool {
         *self.counts.answers.entry(status).or_default() += 1;
         let now = Instant::now();
         let Some(call) = self.calls.get_mut(id) else {
-            self.violate(Rule::Content, format!("{id}: an answer {status} to no request"));
+            self.report_violation(Rule::Content, format!("{id}: answer {status} without a request"));
             return false;
         };
-        let first = call.answer.replace((now, status));
-        let (sent, wait, withdrawn) = (call.sent_at.unwrap_or(now), call.request.wait, call.withdrawn);
-        let given = call.descriptions.iter().any(|d| d == body);
-        let forbidden = call.may_have_run() && matches!(status, 480 | 503);
-        let is_safe = self.terms.classes[call.request.class].safe;
-        if let Some((_, earlier)) = first {
-            self.violate(Rule::LostRequest, format!("{id}: answered {earlier}, then {status}"));
+        let earlier_answer = call.answer.replace((now, status));
+        let (sent_at, ring_limit, cancelled) =
+            (call.sent_at.unwrap_or(now), call.request.ring_limit, call.cancelled);
+        let is_from_exchange = call.exchange_descriptions.iter().any(|d| d == body);
+        let is_forbidden = call.may_have_run() && matches!(status, 480 | 503);
+        let is_safe = self.rules.classes[call.request.class].is_safe;
+        if let Some((_, earlier)) = earlier_answer {
+            self.report_violation(Rule::LostRequest, format!("{id}: answered {earlier} and then {status}"));
         }
-        if status == 200 && !given {
-            self.violate(Rule::Content, format!("{id}: 200 with what no exchange gave: {body:?}"));
+        if status == 200 && !is_from_exchange {
+            self.report_violation(
+                Rule::Content,
+                format!("{id}: 200 with a description that no exchange returned: {body:?}"),
+            );
         }
-        if forbidden && !is_safe && !withdrawn {
-            self.violate(Rule::Repeat, format!("{id}: {status} though an attempt may have run"));
+        if is_forbidden && !is_safe && !cancelled {
+            self.report_violation(Rule::Repeat, format!("{id}: {status} though an attempt may have run"));
         }
-        if matches!(status, 480 | 503) && hold_off.is_none() && self.terms.hold_off {
-            self.violate(Rule::HoldOff, format!("{id}: {status} without X-Hold-Off"));
+        if matches!(status, 480 | 503) && hold_off.is_none() && self.rules.hold_off {
+            self.report_violation(Rule::HoldOff, format!("{id}: {status} without X-Hold-Off"));
         }
-        if !withdrawn && now > sent + wait + SLACK {
+        if !cancelled && now > sent_at + ring_limit + TIMING_TOLERANCE {
             self.counts.late += 1;
         }
-        if !withdrawn && now > sent + wait + LATE_ANSWER + SLACK {
-            let late = now - sent - wait;
-            self.violate(Rule::LostRequest, format!("{id}: answered {status}, {late:?} after its time"));
+        if !cancelled && now > sent_at + ring_limit + LATE_ANSWER_LIMIT + TIMING_TOLERANCE {
+            let lateness = now - sent_at - ring_limit;
+            self.report_violation(
+                Rule::LostRequest,
+                format!("{id}: answered {status}, {lateness:?} after its deadline"),
+            );
         }
         status == 200
     }
 
-    /// The open requests of a connection that has ended. Returns those that are to be sent again since they
-    /// crossed the close; the others are lost, unless the client itself closed it or the process was killed.
-    pub fn on_client_connection_ended(&mut self, connection: u64, excuse: Option<&str>) -> Vec<Request> {
+    /// Handles the open requests of a client connection that has closed. Returns those that crossed the close
+    /// and are to be sent again; the others count as lost unless the client closed the connection itself
+    /// (`excuse`) or the process was killed.
+    pub fn on_client_connection_closed(&mut self, connection: u64, excuse: Option<&str>) -> Vec<Request> {
         let now = Instant::now();
         let mut resend = Vec::new();
         let mut lost = Vec::new();
-        for (id, call) in self.calls.iter_mut().filter(|(_, c)| c.connection == connection && c.is_open()) {
-            let sent = call.sent_at.unwrap_or(now);
-            if excuse.is_some() || self.killed.is_some_and(|kill| kill.excuses(sent)) {
+        for (id, call) in
+            self.calls.iter_mut().filter(|(_, c)| c.client_connection == connection && c.is_open())
+        {
+            let sent_at = call.sent_at.unwrap_or(now);
+            if excuse.is_some() || self.kill.is_some_and(|kill| kill.excuses(sent_at)) {
                 call.excused = true;
                 self.counts.excused += 1;
-            } else if now <= sent + CROSSING && !call.resent && call.attempts.is_empty() {
+            } else if now <= sent_at + CLOSE_RACE_WINDOW && !call.resent && call.attempts.is_empty() {
                 self.counts.resent += 1;
                 resend.push(call.request.clone());
-            } else if now < sent + call.request.wait + SLACK {
+            } else if now < sent_at + call.request.ring_limit + TIMING_TOLERANCE {
                 call.excused = true;
                 lost.push(format!(
-                    "{id}: its connection {connection} ended {:?} after it was sent",
-                    now - sent
+                    "{id}: client connection {connection} closed {:?} after the request was sent",
+                    now - sent_at
                 ));
             }
         }
-        lost.into_iter().for_each(|text| self.violate(Rule::LostRequest, text));
+        lost.into_iter().for_each(|text| self.report_violation(Rule::LostRequest, text));
         resend
     }
 
-    /// A request could not be sent again, since nothing took its new connection: it was not taken.
-    pub fn on_not_taken(&mut self, id: &str) {
+    /// Excuses a request that could not be sent, since its new connection was not accepted.
+    pub fn on_connect_failed(&mut self, id: &str) {
         if let Some(call) = self.calls.get_mut(id) {
             call.excused = true;
         }
     }
 
-    /// A release has arrived at a client.
+    /// Records that a release reached a client.
     pub fn on_released(&mut self, id: &str) {
         if let Some(call) = self.calls.get_mut(id) {
             call.released = true;
@@ -383,7 +399,7 @@
         }
     }
 
-    /// The client has hung up: no release is owed to it.
+    /// Records that the client has hung up, so that the router owes it no release.
     pub fn on_hung_up(&mut self, id: &str) {
         if let Some(call) = self.calls.get_mut(id) {
             call.released = true;
@@ -392,205 +408,249 @@
 
     // ---- exchanges --------------------------------------------------------------------------------
 
-    /// A whole set-up has come from the router; `begun` is the time of its first byte.
-    pub fn on_attempt(&mut self, exchange: u32, route: Route, begun: Instant, set_up: &SetUp) {
+    /// Checks a complete set-up from the router; `first_byte_at` is when its first byte arrived.
+    pub fn on_attempt(
+        &mut self,
+        exchange: u32,
+        connection: ExchangeConnection,
+        first_byte_at: Instant,
+        set_up: &SetUp,
+    ) {
         self.counts.attempts += 1;
-        let id = &set_up.call;
-        if route.place == self.terms.own_place {
-            self.violate(Rule::Content, format!("{id}: sent to the router's own exchange"));
+        let id = &set_up.call_id;
+        if connection.place == self.rules.own_place {
+            self.report_violation(Rule::Content, format!("{id}: attempt sent to the router's own exchange"));
         }
-        self.check_drain(exchange, begun, id);
+        self.check_drain(exchange, first_byte_at, id);
         let Some(call) = self.calls.get(id) else {
-            return self.violate(Rule::Content, format!("{id}: a set-up that no client sent"));
+            return self
+                .report_violation(Rule::Content, format!("{id}: set-up without a request from a client"));
         };
-        let faults = [self.request_faults(call, set_up), self.attempt_faults(call, exchange, begun)];
-        faults.into_iter().flatten().for_each(|(rule, text)| self.violate(rule, text));
+        let violations =
+            [self.request_violations(call, set_up), self.attempt_violations(call, exchange, first_byte_at)];
+        violations.into_iter().flatten().for_each(|(rule, detail)| self.report_violation(rule, detail));
         if let Some(call) = self.calls.get_mut(id) {
-            call.attempts.push(Attempt { exchange, route, end: None });
+            call.attempts.push(Attempt { exchange, connection, outcome: None });
         }
     }
 
-    fn check_drain(&mut self, exchange: u32, begun: Instant, id: &str) {
-        let told = self.told.get(&exchange).filter(|at| begun > **at + self.terms.drain_grace + SLACK);
-        if let Some(told) = told {
-            let text = format!("{id}: sent to s-{exchange:08x} {:?} after its drain was told", begun - *told);
-            self.violate(Rule::Drain, text);
+    fn check_drain(&mut self, exchange: u32, first_byte_at: Instant, id: &str) {
+        let notified_at = self
+            .drain_notified_at
+            .get(&exchange)
+            .filter(|at| first_byte_at > **at + self.rules.drain_grace + TIMING_TOLERANCE);
+        if let Some(notified_at) = notified_at {
+            let text = format!(
+                "{id}: sent to s-{exchange:08x} {:?} after its drain was announced",
+                first_byte_at - *notified_at
+            );
+            self.report_violation(Rule::Drain, text);
         }
     }
 
-    /// What is wrong with a set-up, going by its client's request.
-    fn request_faults(&self, call: &Call, set_up: &SetUp) -> Vec<(Rule, String)> {
-        let (id, now, mut faults) = (&set_up.call, Instant::now(), Vec::new());
-        let same = set_up.description == call.request.description && set_up.number == call.request.number;
-        if !same || set_up.class != self.class(call).name {
-            faults.push((Rule::Content, format!("{id}: changed on its way")));
+    /// Returns the rules that a set-up breaks, compared with the client's request.
+    fn request_violations(&self, call: &Call, set_up: &SetUp) -> Vec<(Rule, String)> {
+        let (id, now, mut violations) = (&set_up.call_id, Instant::now(), Vec::new());
+        let is_unchanged = set_up.description == call.request.description
+            && set_up.called_number == call.request.called_number;
+        if !is_unchanged || set_up.class_name != self.class_of(call).name {
+            violations
+                .push((Rule::Content, format!("{id}: number, description or class changed by the router")));
         }
-        if let Some((at, status)) = call.answer.filter(|(at, _)| now > *at + SLACK) {
-            faults.push((Rule::OneAttempt, format!("{id}: sent {:?} after its answer {status}", now - at)));
+        if let Some((at, status)) = call.answer.filter(|(at, _)| now > *at + TIMING_TOLERANCE) {
+            violations.push((
+                Rule::OneAttempt,
+                format!("{id}: sent {:?} after its final answer {status}", now - at),
+            ));
         }
-        faults
+        violations
     }
 
-    /// What is wrong with a set-up, going by the attempts before it.
-    fn attempt_faults(&self, call: &Call, exchange: u32, begun: Instant) -> Vec<(Rule, String)> {
-        let (id, mut faults) = (&call.request.call, Vec::new());
+    /// Returns the rules that a set-up breaks, compared with the earlier attempts of its call.
+    fn attempt_violations(&self, call: &Call, exchange: u32, first_byte_at: Instant) -> Vec<(Rule, String)> {
+        let (id, mut violations) = (&call.request.call_id, Vec::new());
         for attempt in &call.attempts {
-            match attempt.end {
+            match attempt.outcome {
                 None => {
                     let other = attempt.exchange;
-                    let text = format!("{id}: sent to s-{exchange:08x} while out at s-{other:08x}");
-                    faults.push((Rule::OneAttempt, text));
+                    let text = format!(
+                        "{id}: sent to s-{exchange:08x} while its attempt at s-{other:08x} was still open"
+                    );
+                    violations.push((Rule::OneAttempt, text));
                 }
-                Some((at, AttemptEnd::Reset | AttemptEnd::GivenUp))
-                    if begun + SLACK < at + self.terms.guard =>
+                Some((at, AttemptOutcome::Reset | AttemptOutcome::Abandoned))
+                    if first_byte_at + TIMING_TOLERANCE < at + self.rules.guard =>
                 {
-                    let text = format!("{id}: sent {:?} after an attempt was given up", begun - at);
-                    faults.push((Rule::Guard, text));
+                    let text = format!(
+                        "{id}: sent {:?} after an attempt was reset, timed out or cancelled",
+                        first_byte_at - at
+                    );
+                    violations.push((Rule::Guard, text));
                 }
                 Some(_) => {}
             }
         }
-        if call.may_have_run() && !self.class(call).safe {
-            faults.push((Rule::Repeat, format!("{id}: repeated though an attempt may have run")));
+        if call.may_have_run() && !self.class_of(call).is_safe {
+            violations.push((Rule::Repeat, format!("{id}: new attempt though an earlier one may have run")));
         }
-        faults
+        violations
     }
 
-    /// A set-up reaches an exchange that is still cold, and bears `bearable` set-ups in the window.
-    pub fn on_cold_arrival(&mut self, exchange: u32, bearable: f64, window: Duration) {
+    /// Checks the number of set-ups that reached an exchange during its slow start within the last `window`.
+    ///
+    /// `capacity` is the number of set-ups that the exchange can handle in that time. Three standard
+    /// deviations of a Poisson count, and three more, are allowed on top.
+    pub fn on_slow_start_set_up(&mut self, exchange: u32, capacity: f64, window: Duration) {
         let now = Instant::now();
-        let arrivals = self.cold_arrivals.entry(exchange).or_default();
-        arrivals.retain(|at| now < *at + window);
-        arrivals.push(now);
-        let allowed = bearable + 3.0 * bearable.sqrt() + 3.0;
-        if arrivals.len() as f64 > allowed {
-            let text = format!("s-{exchange:08x}: {} set-ups while it bears {bearable:.1}", arrivals.len());
-            self.violate(Rule::SlowStart, text);
+        let set_ups = self.slow_start_set_ups.entry(exchange).or_default();
+        set_ups.retain(|at| now < *at + window);
+        set_ups.push(now);
+        let allowed = capacity + 3.0 * capacity.sqrt() + 3.0;
+        if set_ups.len() as f64 > allowed {
+            let text = format!("s-{exchange:08x}: {} set-ups while it bears {capacity:.1}", set_ups.len());
+            self.report_violation(Rule::SlowStart, text);
         }
     }
 
-    /// An attempt has ended.
-    pub fn on_attempt_end(&mut self, id: &str, exchange: u32, end: AttemptEnd) {
+    /// Records the outcome of the attempt that is open at an exchange.
+    pub fn on_attempt_ended(&mut self, id: &str, exchange: u32, outcome: AttemptOutcome) {
         let now = Instant::now();
         let Some(call) = self.calls.get_mut(id) else { return };
-        let out = call.attempts.iter_mut().find(|a| a.exchange == exchange && a.end.is_none());
-        if let Some(attempt) = out {
-            attempt.end = Some((now, end));
+        let open_attempt = call.attempts.iter_mut().find(|a| a.exchange == exchange && a.outcome.is_none());
+        if let Some(attempt) = open_attempt {
+            attempt.outcome = Some((now, outcome));
         }
     }
 
-    /// A connection to an exchange has ended, and with it the attempts that were out on it.
-    pub fn on_route_ended(&mut self, route: Route) {
+    /// Records that a connection to an exchange has closed, which resets the attempts that were open on it.
+    pub fn on_exchange_connection_closed(&mut self, connection: ExchangeConnection) {
         let now = Instant::now();
         let attempts = self.calls.values_mut().flat_map(|c| c.attempts.iter_mut());
-        for attempt in attempts.filter(|a| a.route == route && a.end.is_none()) {
-            attempt.end = Some((now, AttemptEnd::Reset));
+        for attempt in attempts.filter(|a| a.connection == connection && a.outcome.is_none()) {
+            attempt.outcome = Some((now, AttemptOutcome::Reset));
         }
     }
 
-    /// An exchange gives a description for a call.
-    pub fn on_description(&mut self, id: &str, description: &str) {
+    /// Records a description that an exchange returns for a call.
+    pub fn on_exchange_description(&mut self, id: &str, description: &str) {
         if let Some(call) = self.calls.get_mut(id) {
-            call.descriptions.push(description.to_owned());
+            call.exchange_descriptions.push(description.to_owned());
         }
     }
 
-    /// A call that stood at an exchange is over.
-    pub fn on_call_over(&mut self, id: &str) {
+    /// Records that an answered call has ended at its exchange.
+    pub fn on_call_ended(&mut self, id: &str) {
         let now = Instant::now();
         if let Some(call) = self.calls.get_mut(id) {
-            call.over.get_or_insert((now, Over::Unconfirmed));
+            call.ended.get_or_insert((now, ReleaseState::Unconfirmed));
         }
     }
 
-    /// An exchange died for good with a call that stood there, or whose release it could not send. Nobody else
-    /// knows of it if the process that set it up has ended as well.
-    pub fn on_call_forgotten(&mut self, id: &str) {
+    /// Records that an exchange has stopped for good with an answered call, or with a release that it had not
+    /// delivered. Nothing knows of the call any more, and no release is owed, if the router process that set
+    /// it up has ended as well.
+    pub fn on_call_orphaned(&mut self, id: &str) {
         let now = Instant::now();
         let Some(call) = self.calls.get_mut(id) else { return };
-        let is_alive = call.life == self.life && !self.lives_ended.contains_key(&call.life);
-        call.over.get_or_insert((now, Over::Unconfirmed));
-        call.is_forgotten = true;
+        let is_alive = call.process == self.process && !self.process_ends.contains_key(&call.process);
+        call.ended.get_or_insert((now, ReleaseState::Unconfirmed));
+        call.is_orphaned = true;
         call.released |= !is_alive;
     }
 
-    /// The router confirms a release.
+    /// Records that the router confirmed the release of a call to its exchange.
     pub fn on_release_confirmed(&mut self, id: &str) {
         let now = Instant::now();
-        if let Some(Call { over: Some((_, over @ Over::Unconfirmed)), .. }) = self.calls.get_mut(id) {
-            *over = Over::Confirmed(now);
+        if let Some(Call { ended: Some((_, release @ ReleaseState::Unconfirmed)), .. }) =
+            self.calls.get_mut(id)
+        {
+            *release = ReleaseState::Confirmed(now);
         }
     }
 
     // ---- membership and processes -----------------------------------------------------------------
 
-    /// An exchange's draining or removal counts as told from `at` on, or from an earlier time noted before.
-    pub fn on_told(&mut self, exchange: u32, at: Instant) {
-        let told = self.told.entry(exchange).or_insert(at);
-        *told = at.min(*told);
+    /// Records that the router counts as informed of an exchange's draining or removal from `at` on. An
+    /// earlier time that was recorded before stays.
+    pub fn on_drain_notified(&mut self, exchange: u32, at: Instant) {
+        let notified_at = self.drain_notified_at.entry(exchange).or_insert(at);
+        *notified_at = at.min(*notified_at);
     }
 
-    /// An exchange is listed as ready again.
+    /// Records that an exchange is listed as ready again.
     pub fn on_listed_ready(&mut self, exchange: u32) {
-        self.told.remove(&exchange);
+        self.drain_notified_at.remove(&exchange);
     }
 
-    /// A process starts; what the last one was told does not count for it.
-    pub fn on_process_started(&mut self, told: impl Iterator<Item = u32>) {
-        self.life += 1;
-        self.killed = None;
+    /// Records the start of a router process. It counts as informed of the exchanges in `out_of_service`
+    /// alone, whatever the process before it knew.
+    pub fn on_process_started(&mut self, out_of_service: impl Iterator<Item = u32>) {
+        self.process += 1;
+        self.kill = None;
         let now = Instant::now();
-        self.told = told.map(|exchange| (exchange, now)).collect();
+        self.drain_notified_at = out_of_service.map(|exchange| (exchange, now)).collect();
     }
 
-    /// The process is killed; after a SIGTERM at the time given, what came within 0.7 s of the signal is not held
-    /// against it.
+    /// Records a SIGKILL of the router process. After a SIGTERM at `terminated_at`, the only requests that
+    /// are excused are those sent within 0.7 s of it or before it.
     pub fn on_killed(&mut self, terminated_at: Option<Instant>) {
-        self.killed = Some(Kill { terminated_at });
+        self.kill = Some(Kill { terminated_at });
     }
 
-    /// The process has ended; so have the attempts that were out.
+    /// Records that the router process has ended, which resets all open attempts.
     pub fn on_process_ended(&mut self) {
-        self.lives_ended.insert(self.life, Instant::now());
+        self.process_ends.insert(self.process, Instant::now());
         let now = Instant::now();
         for call in self.calls.values_mut() {
-            for attempt in call.attempts.iter_mut().filter(|a| a.end.is_none()) {
-                attempt.end = Some((now, AttemptEnd::Reset));
+            for attempt in call.attempts.iter_mut().filter(|a| a.outcome.is_none()) {
+                attempt.outcome = Some((now, AttemptOutcome::Reset));
             }
-            let is_due = call.over.is_some_and(|(at, _)| now >= at + UNSENT_RELEASE_DUE);
-            call.released |= call.is_forgotten && !is_due;
+            let is_due = call.ended.is_some_and(|(at, _)| now >= at + UNCONFIRMED_RELEASE_TIMEOUT);
+            call.released |= call.is_orphaned && !is_due;
         }
     }
 
-    /// Whether the client has given a request up.
-    pub fn is_withdrawn(&self, id: &str) -> bool {
-        self.calls.get(id).is_some_and(|c| c.withdrawn)
+    /// Returns whether the client has cancelled a request.
+    pub fn is_cancelled(&self, id: &str) -> bool {
+        self.calls.get(id).is_some_and(|c| c.cancelled)
     }
 
-    /// Checks what had to come by the end of the run.
+    /// Checks at the end of the run for answers and releases that are overdue.
     pub fn finish(&mut self) {
         let now = Instant::now();
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for (id, call) in &self.calls {
-            let Some(sent) = call.sent_at else { continue };
-            if call.is_open() && now > sent + call.request.wait + LATE_ANSWER + SLACK {
-                found.push((Rule::LostRequest, format!("{id}: never answered, {:?} ago", now - sent)));
+            let Some(sent_at) = call.sent_at else { continue };
+            if call.is_open()
+                && now > sent_at + call.request.ring_limit + LATE_ANSWER_LIMIT + TIMING_TOLERANCE
+            {
+                violations.push((
+                    Rule::LostRequest,
+                    format!("{id}: no final answer, sent {:?} ago", now - sent_at),
+                ));
             }
-            let stood = matches!(call.answer, Some((_, 200)));
-            let Some((at, over)) = call.over.filter(|_| stood && !call.released) else { continue };
+            let was_answered = matches!(call.answer, Some((_, 200)));
+            let Some((at, release)) = call.ended.filter(|_| was_answered && !call.released) else { continue };
             let ended_with_process = |at: Instant| {
-                self.lives_ended.values().any(|end| at <= *end && *end <= at + RELEASE_DUE + SLACK)
+                self.process_ends
+                    .values()
+                    .any(|end| at <= *end && *end <= at + CONFIRMED_RELEASE_TIMEOUT + TIMING_TOLERANCE)
             };
-            let due = match over {
-                Over::Confirmed(confirmed) if !ended_with_process(confirmed) => confirmed + RELEASE_DUE,
-                _ => at + UNSENT_RELEASE_DUE,
+            let due = match release {
+                ReleaseState::Confirmed(confirmed) if !ended_with_process(confirmed) => {
+                    confirmed + CONFIRMED_RELEASE_TIMEOUT
+                }
+                _ => at + UNCONFIRMED_RELEASE_TIMEOUT,
             };
-            if now > due + SLACK {
-                let text = format!("{id}: over for {:?} ({over:?}) and not released", now - at);
-                found.push((Rule::Release, text));
+            if now > due + TIMING_TOLERANCE {
+                let text = format!(
+                    "{id}: call ended {:?} ago ({release:?}) without a release to its client",
+                    now - at
+                );
+                violations.push((Rule::Release, text));
             }
         }
-        found.sort();
-        found.into_iter().for_each(|(rule, text)| self.violate(rule, text));
+        violations.sort();
+        violations.into_iter().for_each(|(rule, detail)| self.report_violation(rule, detail));
     }
 }
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -128,7 +128,7 @@
         self.connections.borrow_mut().remove(&number);
         self.kept.borrow_mut().retain(|n| *n != number);
         let excuse = closed_by_client.then_some("closed by its client");
-        let again = self.checker.borrow_mut().on_client_connection_ended(number, excuse);
+        let again = self.checker.borrow_mut().on_client_connection_closed(number, excuse);
         for request in again {
             let me = self.clone();
             tokio::task::spawn_local(async move { me.send_alone(request, Pace::AtOnce).await });
@@ -145,10 +145,10 @@
             let written = match out {
                 Out::Message(bytes) => writer.write_all(&bytes).await,
                 Out::Request(request, pace) => {
-                    self.checker.borrow_mut().on_request(request.clone(), number);
+                    self.checker.borrow_mut().on_request_started(request.clone(), number);
                     let written = write_paced(writer, &self.invite(&request), pace).await;
                     if written.is_ok() {
-                        self.checker.borrow_mut().on_request_written(&request.call);
+                        self.checker.borrow_mut().on_request_written(&request.call_id);
                         self.plan_patience(&request, number);
                     }
                     written
@@ -168,13 +168,13 @@
     }
 
     fn invite(&self, request: &Request) -> Vec<u8> {
-        let class = self.scenario.terms.classes[request.class].name;
+        let class = self.scenario.rules.classes[request.class].name;
         let headers = format!(
             "X-Call-Class: {class}\r\nX-Ring-Limit: {}\r\nX-Dest: dest:{};width:1;via:-1\r\n",
-            request.wait.as_millis(),
-            request.dest
+            request.ring_limit.as_millis(),
+            request.destination
         );
-        sip::request("INVITE", &request.number, &request.call, &headers, &request.description)
+        sip::request("INVITE", &request.called_number, &request.call_id, &headers, &request.description)
     }
 
     /// Some clients give up early: they withdraw the request, or close the connection.
@@ -185,18 +185,18 @@
                 rng.f64() < self.scenario.impatient,
                 rng.u8(..4) == 0,
                 rng.bool(),
-                request.wait.mul_f64(rng.f64()),
+                request.ring_limit.mul_f64(rng.f64()),
             )
         };
         let Some(me) = self.this().filter(|_| gives_up) else { return };
-        let call = request.call.clone();
+        let call = request.call_id.clone();
         tokio::task::spawn_local(async move {
             sleep(after).await;
             if closes {
                 me.send(number, if resets { Out::Reset } else { Out::Close });
                 return;
             }
-            me.checker.borrow_mut().on_withdrawn(&call);
+            me.checker.borrow_mut().on_cancelled(&call);
             me.send(number, Out::Message(sip::request("CANCEL", "1", &call, "", "")));
         });
     }
@@ -236,7 +236,7 @@
     }
 
     fn plan_hang_up(&self, call: String, number: u64) {
-        let withdrawn = self.checker.borrow().is_withdrawn(&call);
+        let withdrawn = self.checker.borrow().is_cancelled(&call);
         let (hangs_up, after) = {
             let mut rng = self.rng.borrow_mut();
             (rng.u8(..6) == 0, Duration::from_millis(rng.u64(0..800)))
@@ -274,10 +274,10 @@
 
     fn draw_request(&self) -> Request {
         let mut rng = self.rng.borrow_mut();
-        let classes = &self.scenario.terms.classes;
+        let classes = &self.scenario.rules.classes;
         let class = if rng.bool() { 0 } else { rng.usize(..classes.len()) };
         let share = if rng.u8(..4) == 0 { 1.0 } else { 0.15 + 0.5 * rng.f64() };
-        let wait = match rng.u8(..30) {
+        let ring_limit = match rng.u8(..30) {
             0 => Duration::from_millis(rng.u64(3..60)),
             _ => classes[class].deadline.mul_f64(share),
         };
@@ -285,12 +285,12 @@
         let filler =
             if rng.u8(..30) == 0 { "m=audio 31000 RTP/AVP 0\r\n".repeat(400) } else { String::new() };
         Request {
-            call: format!("{:016x}", rng.u64(..)),
+            call_id: format!("{:016x}", rng.u64(..)),
             class,
-            number: format!("+386{:08}", rng.u32(..100_000_000)),
+            called_number: format!("+386{:08}", rng.u32(..100_000_000)),
             description: format!("{:016x}\r\nc=IN IP4 10.4.7.9\r\n\"q\\ ž\r\n{filler}", rng.u64(..)),
-            wait: wait.max(Duration::from_millis(3)),
-            dest: if unknown { 77 } else { rng.u32(1..self.scenario.exchanges) },
+            ring_limit: ring_limit.max(Duration::from_millis(3)),
+            destination: if unknown { 77 } else { rng.u32(1..self.scenario.exchanges) },
         }
     }
 
@@ -317,15 +317,15 @@
 
     /// Sends a request on a connection of its own, which is closed some time after it.
     async fn send_alone(self: Rc<Self>, request: Request, pace: Pace) {
-        let (call, wait) = (request.call.clone(), request.wait);
+        let (call, ring_limit) = (request.call_id.clone(), request.ring_limit);
         let Ok(stream) = TcpStream::connect(self.router).await else {
-            return self.checker.borrow_mut().on_not_taken(&call);
+            return self.checker.borrow_mut().on_connect_failed(&call);
         };
         let (number, running) = self.clone().open(stream);
         self.send(number, Out::Request(request, pace));
         let me = self.clone();
         tokio::task::spawn_local(async move {
-            sleep(wait + Duration::from_millis(2800)).await;
+            sleep(ring_limit + Duration::from_millis(2800)).await;
             me.send(number, Out::Close);
         });
         running.await;
@@ -370,11 +370,11 @@
         match timeout(OWED.saturating_sub(begun.elapsed()), stream.read(&mut input)).await {
             Err(_) => {
                 let text = format!("client of kind {kind}: no word and no close within 3 s");
-                self.checker.borrow_mut().violate(Rule::BadClient, text);
+                self.checker.borrow_mut().report_violation(Rule::BadClient, text);
             }
             Ok(Ok(n)) if String::from_utf8_lossy(&input[..n]).starts_with("SIP/2.0 200") => {
                 let text = format!("client of kind {kind}: answered 200");
-                self.checker.borrow_mut().violate(Rule::BadClient, text);
+                self.checker.borrow_mut().report_violation(Rule::BadClient, text);
             }
             Ok(_) => {}
         }
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -112,10 +112,12 @@
         let number = self.last() + 1;
         self.events.borrow_mut().push(Event { number, id, place, address, state, born_ms });
         let mut checker = self.checker.borrow_mut();
-        checker.note(format!("membership {number}: s-{id:08x} at place {place} {state:?}"));
+        checker.record_event(format!("membership {number}: s-{id:08x} at place {place} {state:?}"));
         match state {
             State::Ready => checker.on_listed_ready(id),
-            _ if self.mode.get() == Mode::Serving => checker.on_told(id, Instant::now() + TOLD_AFTER),
+            _ if self.mode.get() == Mode::Serving => {
+                checker.on_drain_notified(id, Instant::now() + TOLD_AFTER)
+            }
             _ => {}
         }
     }
@@ -135,7 +137,7 @@
         self.mode.set(mode);
         tokio::time::sleep(length).await;
         self.mode.set(Mode::Serving);
-        self.checker.borrow_mut().note("coordinator serves again");
+        self.checker.borrow_mut().record_event("coordinator serves again");
         self.note_told_by(Instant::now() + TOLD_AFTER);
     }
 
@@ -156,7 +158,7 @@
     fn note_told_by(&self, at: Instant) {
         if self.mode.get() == Mode::Serving {
             let mut checker = self.checker.borrow_mut();
-            self.out_of_service().into_iter().for_each(|id| checker.on_told(id, at));
+            self.out_of_service().into_iter().for_each(|id| checker.on_drain_notified(id, at));
         }
     }
 
@@ -204,7 +206,7 @@
                     self.write(&mut stream, &frame(&event)).await?;
                     last = event.number;
                     if event.state != State::Ready && self.out_of_service().contains(&event.id) {
-                        self.checker.borrow_mut().on_told(event.id, Instant::now());
+                        self.checker.borrow_mut().on_drain_notified(event.id, Instant::now());
                     }
                     continue;
                 }
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::{sleep, Instant};
 
-use crate::checker::{AttemptEnd, Route, Rule, RuleChecker, SetUp};
+use crate::checker::{AttemptOutcome, ExchangeConnection, Rule, RuleChecker, SetUp};
 use crate::scenario::{Party, Scenario};
 
 /// The protocol's limit of connections to one exchange.
@@ -46,7 +46,7 @@
 /// What a line tells of a call.
 enum Told {
     Nothing,
-    AttemptEnded(String, AttemptEnd),
+    AttemptEnded(String, AttemptOutcome),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -205,16 +205,16 @@
         let mut checker = self.checker.borrow_mut();
         for (call, state) in self.calls.take() {
             match (state.stands, comes_back) {
-                (false, _) => checker.on_attempt_end(&call, self.id(), AttemptEnd::Reset),
-                (true, false) => checker.on_call_forgotten(&call),
+                (false, _) => checker.on_attempt_ended(&call, self.id(), AttemptOutcome::Reset),
+                (true, false) => checker.on_call_orphaned(&call),
                 (true, true) => {
-                    checker.on_call_over(&call);
+                    checker.on_call_ended(&call);
                     self.unconfirmed.borrow_mut().push(call);
                 }
             }
         }
         if !comes_back {
-            self.unconfirmed.take().iter().for_each(|call| checker.on_call_forgotten(call));
+            self.unconfirmed.take().iter().for_each(|call| checker.on_call_orphaned(call));
         }
         drop(checker);
         self.reset_connections();
@@ -301,7 +301,7 @@
         let open = self.connections.borrow().len();
         if open > MAX_CONNECTIONS {
             let text = format!("{open} connections to the exchange at place {}", self.place);
-            self.checker.borrow_mut().violate(Rule::Connections, text);
+            self.checker.borrow_mut().report_violation(Rule::Connections, text);
         }
     }
 
@@ -322,11 +322,11 @@
         self.connections.borrow_mut().remove(&number);
         // A closed connection gives up the set-ups open on it; calls that stand go on.
         self.calls.borrow_mut().retain(|_, s| s.connection != number || s.stands);
-        self.checker.borrow_mut().on_route_ended(self.route(number));
+        self.checker.borrow_mut().on_exchange_connection_closed(self.connection_id(number));
     }
 
-    fn route(&self, connection: u64) -> Route {
-        Route { place: self.place, connection }
+    fn connection_id(&self, number: u64) -> ExchangeConnection {
+        ExchangeConnection { place: self.place, number }
     }
 
     async fn read(&self, reader: &mut OwnedReadHalf, number: u64) {
@@ -349,7 +349,9 @@
             while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
                 let line: Vec<u8> = bytes.drain(..=end).collect();
                 let Ok(message) = serde_json::from_slice::<Value>(&line) else {
-                    self.checker.borrow_mut().violate(Rule::Content, format!("no JSON line: {line:?}"));
+                    self.checker
+                        .borrow_mut()
+                        .report_violation(Rule::Content, format!("no JSON line: {line:?}"));
                     continue;
                 };
                 self.observe(&message, begun, number);
@@ -366,27 +368,30 @@
     /// What the rules see of a message, when it leaves the router.
     fn observe(&self, message: &Value, begun: Instant, number: u64) {
         let text = |v: &Value| v.as_str().unwrap_or_default().to_owned();
-        let (call, opts) = (text(&message["tag"]), &message["opts"]);
+        let (call_id, opts) = (text(&message["tag"]), &message["opts"]);
         let mut checker = self.checker.borrow_mut();
         match message["verb"].as_str().unwrap_or_default() {
             "START" => {
                 let set_up = SetUp {
-                    call,
-                    class: text(&opts["class"]),
-                    number: text(&opts["key"]),
+                    call_id,
+                    class_name: text(&opts["class"]),
+                    called_number: text(&opts["key"]),
                     description: text(&message["blob"]),
                 };
-                checker.on_attempt(self.id(), self.route(number), begun, &set_up);
+                checker.on_attempt(self.id(), self.connection_id(number), begun, &set_up);
                 if let Some(born) = self.born.get().filter(|b| b.elapsed().as_secs_f64() < COLD_S) {
                     let warmth = COLD_FROM + (1.0 - COLD_FROM) * born.elapsed().as_secs_f64() / COLD_S;
-                    checker.on_cold_arrival(self.id(), 2.0 * CAPACITY_PER_S * warmth, Duration::from_secs(1));
+                    checker.on_slow_start_set_up(
+                        self.id(),
+                        2.0 * CAPACITY_PER_S * warmth,
+                        Duration::from_secs(1),
+                    );
                 }
             }
-            "FINISH" => checker.on_attempt_end(&call, self.id(), AttemptEnd::GivenUp),
-            "FINISHED" => checker.on_release_confirmed(&call),
-            "ECHO" => {
-                checker.violate(Rule::Probe, format!("the exchange at place {} was probed", self.place))
-            }
+            "FINISH" => checker.on_attempt_ended(&call_id, self.id(), AttemptOutcome::Abandoned),
+            "FINISHED" => checker.on_release_confirmed(&call_id),
+            "ECHO" => checker
+                .report_violation(Rule::Probe, format!("the exchange at place {} was probed", self.place)),
             _ => {}
         }
     }
@@ -406,7 +411,7 @@
                 return;
             }
             if let Told::AttemptEnded(call, end) = told {
-                self.checker.borrow_mut().on_attempt_end(&call, self.id(), end);
+                self.checker.borrow_mut().on_attempt_ended(&call, self.id(), end);
             }
         }
     }
@@ -468,7 +473,7 @@
         self.calls.borrow_mut().insert(call.clone(), CallState { connection: number, stands: false });
         let (luck, delay) = {
             let mut rng = self.rng.borrow_mut();
-            let longest = self.scenario.terms.classes[0].deadline.min(Duration::from_secs(2));
+            let longest = self.scenario.rules.classes[0].deadline.min(Duration::from_secs(2));
             let share = if rng.u8(..10) == 0 { 0.3 } else { 0.04 };
             (rng.f64(), longest.mul_f64(share * rng.f64()))
         };
@@ -489,16 +494,16 @@
                 "rc": rc})
             .to_string()
         };
-        let refuse = |line: String, end: AttemptEnd| {
+        let refuse = |line: String, end: AttemptOutcome| {
             self.calls.borrow_mut().remove(&call);
             self.send(number, Out::Line(line, Told::AttemptEnded(call.clone(), end)));
         };
         match luck {
-            l if l < 0.02 => refuse(ended(34, "group_full"), AttemptEnd::NotRun),
-            l if l < 0.03 => refuse(ended(34, "processor_full"), AttemptEnd::NotRun),
-            l if l < 0.04 => refuse(ended(17, "user_busy"), AttemptEnd::Failed),
-            l if l < 0.05 => refuse(ended(47, ""), AttemptEnd::Failed),
-            l if l < 0.06 => refuse(ended(41, ""), AttemptEnd::Reset),
+            l if l < 0.02 => refuse(ended(34, "group_full"), AttemptOutcome::NotRun),
+            l if l < 0.03 => refuse(ended(34, "processor_full"), AttemptOutcome::NotRun),
+            l if l < 0.04 => refuse(ended(17, "user_busy"), AttemptOutcome::Failed),
+            l if l < 0.05 => refuse(ended(47, ""), AttemptOutcome::Failed),
+            l if l < 0.06 => refuse(ended(41, ""), AttemptOutcome::Reset),
             l if l < 0.06 + self.scenario.spoilt => self.spoil(call, number).await,
             _ => self.stand(call, number),
         }
@@ -506,7 +511,7 @@
 
     fn stand(self: Rc<Self>, call: String, number: u64) {
         let line = self.standing_line(&call);
-        self.send(number, Out::Line(line, Told::AttemptEnded(call.clone(), AttemptEnd::Answered)));
+        self.send(number, Out::Line(line, Told::AttemptEnded(call.clone(), AttemptOutcome::Answered)));
         if let Some(state) = self.calls.borrow_mut().get_mut(&call) {
             state.stands = true;
         }
@@ -528,14 +533,14 @@
         };
         let filler = if long { "m=audio 31000 RTP/AVP 0 8 101\r\n".repeat(300) } else { String::new() };
         let description = format!("{nonce:08x}\r\nc=IN IP4 10.4.7.9\r\n\"ž\\ \u{1}\r\n{filler}");
-        self.checker.borrow_mut().on_description(call, &description);
+        self.checker.borrow_mut().on_exchange_description(call, &description);
         json!({"verb": "STARTED", "tag": call, "opts": {}, "blob": description}).to_string()
     }
 
     /// A call that stands comes to its end.
     fn release(&self, call: &str) {
         let Some(state) = self.calls.borrow_mut().remove(call) else { return };
-        self.checker.borrow_mut().on_call_over(call);
+        self.checker.borrow_mut().on_call_ended(call);
         self.unconfirmed.borrow_mut().push(call.to_owned());
         let line = || Out::Line(release_line(call), Told::Nothing);
         if !self.send(state.connection, line()) {
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,8 +1,8 @@
 //! A soak rig for the router: the real process on loopback between emulated clients, exchanges and a
 //! coordinator, with seeded faults and a checker of the rules.
 //!
-//! One run plays one seed: [`scenario`] draws the settings and a timeline of faults, [`run`] plays it, and the
-//! [`checker`] records what passes on the sockets and which rule was broken.
+//! One run plays one seed: [`scenario`] draws the settings and a timeline of faults, [`run`] plays it, and
+//! the [`checker`] records what passes on the sockets and which rule was broken.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/emulator/src/router.rs
+++ b/emulator/src/router.rs
@@ -72,25 +72,25 @@
 impl ConfigFile {
     /// A configuration for a scenario.
     pub fn new(path: PathBuf, scenario: &Scenario, listen: SocketAddr) -> Self {
-        let class = |c: &crate::scenario::ClassTerms| {
+        let class = |c: &crate::scenario::ClassSettings| {
             json!({"Name": c.name, "AimNs": nanos(c.aim), "DeadlineNs": nanos(c.deadline), "Worth": 1.0,
-                "LateShare": 0.2, "Effect": if c.safe { "safe" } else { "unsafe" }, "DedupScope": "all",
+                "LateShare": 0.2, "Effect": if c.is_safe { "safe" } else { "unsafe" }, "DedupScope": "all",
                 "Stream": true, "WindowNs": 5_000_000_000_u64})
         };
-        let terms = &scenario.terms;
-        let classes: Vec<Value> = terms.classes.iter().map(class).collect();
+        let rules = &scenario.rules;
+        let classes: Vec<Value> = rules.classes.iter().map(class).collect();
         let value = json!({
             "name": "n0", "listen": listen.to_string(), "seed": format!("{:016x}", scenario.seed),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": scenario.sockets},
             "settings": {
-                "Classes": classes, "FleetSize": scenario.exchanges, "Me": terms.own_place,
+                "Classes": classes, "FleetSize": scenario.exchanges, "Me": rules.own_place,
                 "Dcs": ["east"], "Clients": {"MarksRetry": true}, "TickNs": 5_000_000, "Zone": 0,
-                "Domain": {"OwnNumber": terms.own_place, "Topology": "meshed", "GuardNs": nanos(terms.guard),
-                    "ChannelsNeeded": terms.classes.iter().map(|_| 1).collect::<Vec<u32>>()},
+                "Domain": {"OwnNumber": rules.own_place, "Topology": "meshed", "GuardNs": nanos(rules.guard),
+                    "ChannelsNeeded": rules.classes.iter().map(|_| 1).collect::<Vec<u32>>()},
                 "Stats": {"How": "answers", "Names": ["spare", "total", "lat_ms"]},
-                "Contract": {"DrainGraceNs": nanos(terms.drain_grace), "ColdFrom": 0.28,
+                "Contract": {"DrainGraceNs": nanos(rules.drain_grace), "ColdFrom": 0.28,
                     "ColdNs": 14_000_000_000_u64, "FallMultiple": 2.0, "FallNs": 1_000_000_000},
-                "PolicyLimits": {"MaxAttempts": 5, "Cancelling": true, "RetryAfter": terms.hold_off,
+                "PolicyLimits": {"MaxAttempts": 5, "Cancelling": true, "RetryAfter": rules.hold_off,
                     "MaxRetryAfterNs": 2_000_000_000, "ConnectTimeoutNs": nanos(scenario.connect_timeout)}}});
         Self { path, value }
     }
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -76,7 +76,7 @@
 pub async fn play(scenario: Scenario, program: &Path, dir: &Path) -> io::Result<Report> {
     let scenario = Rc::new(scenario);
     let seed = scenario.seed;
-    let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.terms.clone())));
+    let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.rules.clone())));
     let coordinator = Coordinator::new(checker.clone(), &scenario);
     let address = coordinator.open().await?;
     let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchanges)
@@ -126,8 +126,8 @@
         }
     }
 
-    fn note(&self, text: impl std::fmt::Display) {
-        self.checker.borrow_mut().note(text);
+    fn record_event(&self, text: impl std::fmt::Display) {
+        self.checker.borrow_mut().record_event(text);
     }
 
     async fn play_timeline(self: Rc<Self>, orders: &mpsc::UnboundedSender<Order>) {
@@ -141,7 +141,7 @@
                 Step::Kill { restart_after } => drop(orders.send(Order::Kill { restart_after })),
                 Step::Reload { count, gap } => drop(orders.send(Order::Reload { count, gap })),
                 fault => {
-                    self.note(format!("{fault:?}"));
+                    self.record_event(format!("{fault:?}"));
                     tokio::task::spawn_local(self.clone().play_fault(fault));
                 }
             }
@@ -233,7 +233,7 @@
         config.write()?;
         let gone: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
         self.checker.borrow_mut().on_process_started(gone.into_iter());
-        self.note("router started");
+        self.record_event("router started");
         Router::start(&self.program, config.path(), &self.log)
     }
 
@@ -259,7 +259,7 @@
                 }
                 Order::Kill { restart_after } => {
                     ready.abort();
-                    self.note("SIGKILL without warning");
+                    self.record_event("SIGKILL without warning");
                     self.checker.borrow_mut().on_killed(None);
                     router.signal(Signal::KILL);
                     self.await_end(&mut router, None).await;
@@ -282,9 +282,9 @@
     }
 
     async fn terminate(&self, router: &mut Router, twice: bool) {
-        let longest = self.scenario.terms.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let longest = self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let term_at = Instant::now();
-        self.note("SIGTERM");
+        self.record_event("SIGTERM");
         router.signal(Signal::TERM);
         if twice {
             sleep(Duration::from_millis(40)).await;
@@ -292,13 +292,13 @@
         }
         let kill_at = term_at + longest.min(LONGEST_WAIT) + KILL_MARGIN;
         if !self.await_end(router, Some(kill_at)).await {
-            self.note("SIGKILL");
+            self.record_event("SIGKILL");
             self.checker.borrow_mut().on_killed(Some(term_at));
             router.signal(Signal::KILL);
             self.await_end(router, None).await;
         }
         let killed = router.ended().is_some_and(|status| status.code().is_none());
-        self.note(if killed { "router was killed" } else { "router ended" });
+        self.record_event(if killed { "router was killed" } else { "router ended" });
     }
 
     /// Waits until the process has ended; false at the time given.
@@ -306,7 +306,9 @@
         while until.is_none_or(|at| Instant::now() < at) {
             if let Some(status) = router.ended() {
                 if status.code().is_some_and(|code| code != 0) {
-                    self.checker.borrow_mut().violate(Rule::Crash, format!("the router ended with {status}"));
+                    self.checker
+                        .borrow_mut()
+                        .report_violation(Rule::Crash, format!("the router ended with {status}"));
                 }
                 // Clients see their connections end before the process counts as ended.
                 sleep(POLL).await;
@@ -323,7 +325,7 @@
             let address = self.coordinator.open().await?;
             self.config.borrow_mut().set("coordinator", json!(address.to_string()));
             self.config.borrow().write()?;
-            self.note(format!("SIGHUP, coordinator at {address}"));
+            self.record_event(format!("SIGHUP, coordinator at {address}"));
             router.signal(Signal::HUP);
             sleep(gap).await;
         }
@@ -336,7 +338,7 @@
         if let Some(status) = router.ended() {
             let seen = checker.violations().iter().any(|v| v.rule == Rule::Crash);
             if !seen {
-                checker.violate(Rule::Crash, format!("the router ended by itself with {status}"));
+                checker.report_violation(Rule::Crash, format!("the router ended by itself with {status}"));
             }
             return;
         }
@@ -345,7 +347,7 @@
         *peak = (peak.0.max(memory), peak.1.max(descriptors));
         if memory > MEMORY_MB || descriptors > self.scenario.sockets as usize {
             let text = format!("{memory} MB and {descriptors} descriptors held");
-            checker.violate(Rule::Limits, text);
+            checker.report_violation(Rule::Limits, text);
         }
     }
 
@@ -358,9 +360,9 @@
         };
         if timeout(READY_WITHIN, ready).await.is_err() {
             let text = format!("not ready within {READY_WITHIN:?}");
-            self.checker.borrow_mut().violate(Rule::Crash, text);
+            self.checker.borrow_mut().report_violation(Rule::Crash, text);
         }
-        self.note("router ready");
+        self.record_event("router ready");
         // The first configuration change comes later than its first second.
         sleep(Duration::from_secs(1)).await;
     }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -7,11 +7,11 @@
 
 /// A class of calls, as the rules see it.
 #[derive(Debug, Clone, Copy)]
-pub struct ClassTerms {
+pub struct ClassSettings {
     /// Its name.
     pub name: &'static str,
     /// It may be repeated and refused freely.
-    pub safe: bool,
+    pub is_safe: bool,
     /// Longest time that a client waits.
     pub deadline: Duration,
     /// A call that stands within this earns its full worth.
@@ -20,9 +20,9 @@
 
 /// The figures of the rules.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct RuleSettings {
     /// Classes by number.
-    pub classes: Vec<ClassTerms>,
+    pub classes: Vec<ClassSettings>,
     /// Time between a reset, timed-out or cancelled attempt and the next.
     pub guard: Duration,
     /// Time after a told drain in which set-ups may still go out.
@@ -94,7 +94,7 @@
     /// Its seed.
     pub seed: u64,
     /// Figures of the rules.
-    pub terms: Terms,
+    pub rules: RuleSettings,
     /// Number of exchanges; their places count from 0, which is the router's own.
     pub exchanges: u32,
     /// Requests a second.
@@ -130,8 +130,8 @@
     Duration::from_millis(rng.u64(from_ms..=to_ms))
 }
 
-/// A party of a run that listens. Each run has loopback addresses of its own, so that a port that is given up for
-/// a while is not taken by another run.
+/// A party of a run that listens. Each run has loopback addresses of its own, so that a port that is given up
+/// for a while is not taken by another run.
 #[derive(Debug, Clone, Copy)]
 pub enum Party {
     /// The router.
@@ -154,12 +154,13 @@
     pub fn draw(seed: u64, active: Duration) -> Self {
         let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5151);
         let deadline = Duration::from_millis(DEADLINES_MS[(seed % 7) as usize]);
-        let class = |name, safe, deadline: Duration| ClassTerms { name, safe, deadline, aim: deadline / 2 };
+        let class =
+            |name, is_safe, deadline: Duration| ClassSettings { name, is_safe, deadline, aim: deadline / 2 };
         let mut classes = vec![class("voice", true, deadline), class("family", true, deadline.mul_f64(0.8))];
         if rng.u8(..3) == 0 {
             classes.push(class("order", false, deadline));
         }
-        let terms = Terms {
+        let rules = RuleSettings {
             classes,
             guard: Duration::from_millis(500),
             drain_grace: Duration::from_millis(500),
@@ -168,7 +169,7 @@
         };
         let mut scenario = Self {
             seed,
-            terms,
+            rules,
             exchanges: rng.u32(4..=6),
             rate: if rng.u8(..4) == 0 { 180.0 } else { 20.0 + 60.0 * rng.f64() },
             connections: rng.u32(2..=6),
@@ -197,7 +198,7 @@
 
     /// Signals come in series: each stop begins soon after the start before it, among faults of exchanges.
     fn draw_shutdowns(&mut self, rng: &mut Rng) {
-        let deadline = self.terms.classes[0].deadline.min(Duration::from_secs(3));
+        let deadline = self.rules.classes[0].deadline.min(Duration::from_secs(3));
         let mut at = between(rng, 700, 2000);
         for _ in 0..rng.u32(2..=4) {
             let restart_after = between(rng, 0, 700);
