--- a/src/policy/control.rs
+++ b/src/policy/control.rs
@@ -1,43 +1,50 @@
-//! The control of one processor after the Proteo paper: counts what is offered, limits what is accepted.
+//! Admission control of one processor after the Proteo paper: limits the rate of accepted calls depending on
+//! the rate of offered calls.
 //!
-//! Symbols A, X, T, θ, λs, C, B, γ are the paper's (sections 4, 10 and 11).
+//! The symbols A, X, T, θ, λs, C, B and γ are the paper's (sections 4, 10 and 11): A is the number of calls
+//! offered in a cycle of length T, X the rate of offered calls smoothed by θ, λs the safe rate, and γ the
+//! cost of a refusal. Under overload the accepted rate is C - B X, with C = λs / (1 - γ) and B = γ / (1 - γ).
 
-/// T: length of a control cycle, s (paper, 6).
+/// T: length of a control cycle in seconds (paper, 6).
 pub(super) const CYCLE_LENGTH: f64 = 0.5;
-/// θ: smoothing of the offered rate (paper, 11).
+/// θ: smoothing factor of the offered rate (paper, 11).
 pub(super) const OFFERED_RATE_SMOOTHING: f64 = 0.2;
-/// γ: work of a refusal against that of a call (paper, 4).
+/// γ: processor work of a refusal as a share of the work of a call (paper, 4).
 pub(super) const REFUSAL_COST: f64 = 0.16;
-/// Length of a learning period of λs, s (paper, 11: 15 to 30).
+/// Length of a learning period of λs in seconds (paper, 11: 15 to 30).
 pub(super) const LEARNING_PERIOD: f64 = 15.0;
-/// Least λs, calls a second: below it too few calls pass to learn from.
+/// Lowest λs in calls per second. Below it too few calls are accepted to learn from.
 pub(super) const MIN_SAFE_RATE: f64 = 3.0;
-/// Acceptance limit at normal load, in λs (design page).
+/// Limit of the accepted rate at normal load, as a multiple of λs (design page).
 pub(super) const NORMAL_LIMIT: f64 = 1.2;
-/// End of the transition region, in λs, and the raised limit within it (paper, fig. 8).
+/// Offered rate at the end of the transition region, and limit of the accepted rate within it, both as
+/// multiples of λs (paper, fig. 8).
 pub(super) const TRANSITION_LIMIT: f64 = 1.1;
 
-/// The paper's control of one processor: counts what is offered, sets the next cycle's limit.
+/// Counts the offered and accepted calls of each cycle, and sets the limit of the next one.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    /// Set-ups offered in this cycle, refused ones included.
+    /// Calls offered in this cycle, including those that were refused.
     pub offered_calls: f64,
-    /// Set-ups accepted in this cycle.
+    /// Calls accepted in this cycle.
     pub accepted_calls: f64,
-    /// X: smoothed offered rate.
+    /// X: smoothed rate of offered calls per second.
     pub offered_rate: f64,
-    /// λs, unset until delays have exceeded the aim.
+    /// λs: rate of calls per second that are established within their target delay; `None` until the mean
+    /// delay of a learning period has exceeded the target delay.
     pub safe_rate: Option<f64>,
-    /// CAL: accepted set-ups allowed in this cycle; none while λs is unset.
+    /// CAL: largest number of calls accepted in this cycle; `None` (no limit) while λs is unknown.
     pub cycle_limit: Option<f64>,
-    /// In this period: set-ups that stood within the aim, all that ended, their delays in aims.
+    /// Set-ups established within the target delay in this learning period.
     in_time: f64,
+    /// Set-ups with a known delay in this learning period.
     completed: f64,
+    /// Sum of their delays, relative to the target delay.
     total_delay: f64,
 }
 
 impl AdmissionControl {
-    /// Ends a cycle: X from A, and CAL from the control function (paper, 10 and 11).
+    /// Ends a cycle: updates X from A, and CAL from X (paper, 10 and 11).
     pub fn end_cycle(&mut self) {
         self.offered_rate = OFFERED_RATE_SMOOTHING * self.offered_calls / CYCLE_LENGTH
             + (1.0 - OFFERED_RATE_SMOOTHING) * self.offered_rate;
@@ -47,7 +54,9 @@
             .map(|safe_rate| CYCLE_LENGTH * Self::max_accepted_rate(self.offered_rate, safe_rate));
     }
 
-    /// Accepted rate for the offered rate X: constant, raised near λs, then the falling line.
+    /// Returns the highest accepted rate for an offered rate X. It is constant at normal load. Above λs
+    /// follows the transition region with a limit raised above the overload line, then the overload line C -
+    /// B X, which falls as refusals take up more of the processor.
     pub fn max_accepted_rate(offered_rate: f64, safe_rate: f64) -> f64 {
         if offered_rate <= safe_rate {
             NORMAL_LIMIT * safe_rate
@@ -58,14 +67,15 @@
         }
     }
 
-    /// Notes how long a set-up took, or how long it was waited for, in aims.
+    /// Records how long a set-up took, or how long its answer was waited for, relative to the target delay.
     pub fn record_delay(&mut self, relative_delay: f64) {
         self.completed += 1.0;
         self.total_delay += relative_delay;
         self.in_time += f64::from(u8::from(relative_delay <= 1.0));
     }
 
-    /// Ends a learning period: λs down to 0.9 of what stood in time, or up a tenth.
+    /// Ends a learning period. If the mean delay was above the target delay, λs becomes 0.9 times the rate of
+    /// set-ups established in time; if it was below half of it, λs grows by a tenth.
     pub fn end_learning_period(&mut self) {
         let mean_delay = if self.completed > 0.0 { self.total_delay / self.completed } else { 0.0 };
         if mean_delay > 1.0 {
@@ -76,6 +86,7 @@
         (self.in_time, self.completed, self.total_delay) = (0.0, 0.0, 0.0);
     }
 
+    /// Returns whether another call may be accepted in this cycle. One call per cycle is always accepted.
     pub(super) fn has_capacity(&self) -> bool {
         self.cycle_limit.is_none_or(|limit| self.accepted_calls + 1.0 <= limit.max(1.0))
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,17 @@
-//! Every decision of a call controller: acceptance, route, further attempts, answers.
+//! The decisions of a call router: admission, routing, repeated attempts and final answers.
 //!
-//! Types, settings, events and actions stand in `src/interface.rs`. Read from the top: constants, what is
-//! known of the exchanges, then the path of one call. `control` limits what is accepted, `window` what is out
-//! towards one processor, and [`shutdown`] says when a stopping router does what.
+//! The types of its settings, events and actions are defined in `src/interface.rs`. This file holds the
+//! constants, the state kept for each exchange and node, and then the processing of a call in order.
+//! `control` limits the rate of accepted calls, `window` limits the unanswered set-ups toward one processor,
+//! and [`shutdown`] defines the schedule of a stopping router.
+//!
+//! Comments refer to five rules that every decision keeps:
+//!
+//! 1. A call gets exactly one final answer, before its deadline.
+//! 2. A call has at most one attempt outstanding.
+//! 3. No set-up goes to an exchange that is draining or gone.
+//! 4. A cold exchange gets no more set-ups than it can take while it warms up.
+//! 5. After a time-out, reset or cancel, a call is sent again only after the guard time.
 
 mod control;
 pub mod shutdown;
@@ -18,166 +27,214 @@
 
 use crate::interface::*;
 
-/// Part of the cold budget used: the rest is slack for repeats and for what is in flight.
+/// Share of the cold budget that is used. The rest is a margin for repeated set-ups and for those in flight.
 const COLD_BUDGET_SHARE: f64 = 0.9;
-/// What a warm processor can take from a sender, in what it was sent: it sets up its own calls as well.
+/// Rate that an exchange is assumed to bear from this router, as a multiple of the rate that this router sent
+/// it while it was warm. It is above 1 because the exchange set up its own calls during that time as well.
 const WARM_RATE_MULTIPLE: f64 = 1.5;
-/// Circuits kept free on a tandem's first leg: at rest, and for each unit of blocking; its smoothing per try.
+/// Circuits reserved for direct calls on the first leg to a tandem.
 const RESERVED_CIRCUITS: f64 = 1.0;
+/// Further reserved circuits for each unit of blocking, which lies between 0 and 1.
 const RESERVED_CIRCUITS_PER_BLOCKING: f64 = 10.0;
+/// Smoothing factor of the blocking, applied once for each call.
 const BLOCKING_SMOOTHING: f64 = 0.1;
-/// A spell, in aims, and the longest, s: for silence, for failures and before what is full is tried again.
+/// Base interval as a share of the shortest target delay. Waits after silence, after a failure and after a
+/// full processor are multiples of the base interval.
 ///
-/// Guards against a processor that is back but left alone for several aims, as its next trial is not due.
+/// It follows the target delay so that a processor that has recovered is not left without calls for several
+/// target delays until its next trial is due.
 const BASE_INTERVAL_SHARE: f64 = 0.25;
+/// Longest base interval in seconds.
 const MAX_BASE_INTERVAL: f64 = 0.5;
-/// Longest gap between trials of a processor whose window is shut, in spells.
+/// Longest time between trial set-ups to a processor whose window is below 1, in base intervals.
 const MAX_TRIAL_INTERVAL: f64 = 6.0;
-/// After a crank-back (one for those of a moment) a tandem is left out there: first and longest, in spells.
+/// Time for which a tandem is left out for a destination after its first crank-back, in base intervals. It
+/// doubles with each further crank-back; those that arrive during a pause do not count.
 const CRANK_BACK_PAUSE: f64 = 6.0;
+/// Longest time for which a tandem is left out, in base intervals.
 const MAX_CRANK_BACK_PAUSE: f64 = 48.0;
-/// A set-up out for so many usual set-up times is taken for lost; above a share of such, they are called off.
+/// Share of lost set-ups above which overdue set-ups are presumed lost and cancelled.
 const LOSS_THRESHOLD: f64 = 0.04;
+/// A set-up is overdue when it has been unanswered for this many usual set-up times.
 const OVERDUE_MULTIPLE: f64 = 3.0;
-/// A number found busy rests: first and longest rest in spells, and how many numbers are remembered.
+/// First pause of a number that was busy, in base intervals. It doubles each time the number is busy again.
 const BUSY_NUMBER_PAUSE: f64 = 1.0;
+/// Longest pause of a busy number, in base intervals.
 const MAX_BUSY_NUMBER_PAUSE: f64 = 8.0;
+/// Largest number of busy numbers that are remembered.
 const MAX_BUSY_NUMBERS: usize = 256;
-/// A reported allowance under the first part of its usual best tells of pressure, over the second of ease.
-/// That best is slowly forgotten, by so much per report.
+/// An allowed rate below this share of the best one reported means that the processor is overloaded.
 const LOW_ALLOWED_RATE: f64 = 0.25;
+/// An allowed rate above this share of the best one reported means that the processor has spare capacity.
 const HIGH_ALLOWED_RATE: f64 = 0.5;
+/// Share by which the best reported rate decays with each report.
 const BEST_ALLOWED_RATE_DECAY: f64 = 0.002;
 
-/// Smoothing per answer, of one place and over all places: of set-up times, and of losses.
+/// Smoothing factor of the set-up time of one node, applied once for each answer.
 const NODE_SET_UP_TIME_SMOOTHING: f64 = 0.3;
+/// Smoothing factor of the set-up time over all nodes, applied once for each answer.
 const OVERALL_SET_UP_TIME_SMOOTHING: f64 = 0.05;
+/// Smoothing factor of the loss share of one node, applied once for each answer.
 const NODE_LOSS_SMOOTHING: f64 = 0.1;
+/// Smoothing factor of the loss share over all nodes, applied once for each answer.
 const OVERALL_LOSS_SMOOTHING: f64 = 0.05;
-/// Tandems tried for one call.
+/// Largest number of tandems tried for one call.
 const MAX_TANDEMS: usize = 2;
-/// Log lines for the operators at most, over a controller's life.
+/// Largest number of log lines that a controller writes in its lifetime.
 const MAX_LOG_LINES: usize = 20;
 
+/// Token of the periodic timer; call timers use the tokens from 1 on.
 const CYCLE_TIMER: TimerToken = TimerToken(0);
 
-/// A machine of the directory.
+/// State of an exchange that the directory lists.
 #[derive(Debug)]
 struct Exchange {
     node: NodeNumber,
     health: Health,
-    /// Warm from this time on; before it the cold budget binds.
+    /// Time at which the exchange is warm. Until then rule 4 limits the set-ups sent to it.
     warm_at: f64,
-    /// Times of sends while cold, within the budget's window.
+    /// Times of the set-ups sent to it while cold, within the window of rule 4.
     cold_send_times: Vec<f64>,
 }
 
-/// What is known of an exchange or pool.
+/// State of a node, which is the exchange or pool of one number.
 #[derive(Debug, Default)]
 struct NodeState {
     window: Window,
-    /// The operators were told that it is shut.
+    /// Whether the last log line about this node reported its window as closed.
     closed_window_logged: bool,
-    /// The best allowance reported, slowly forgotten.
+    /// Highest allowed rate reported by the processor, in set-ups per second, decaying slowly.
     best_allowed_rate: f64,
-    /// Smoothed time that set-ups took, s.
+    /// Smoothed set-up time in seconds.
     set_up_time: f64,
-    /// The last set-up became overdue; and the share of set-ups that were lost, smoothed.
+    /// Whether a set-up has become overdue since the last one was established.
     has_overdue_set_up: bool,
+    /// Smoothed share of set-ups that were lost.
     loss_share: f64,
-    /// Tandems for calls to here: how long each was last left out (0: its last call stood), until when.
+    /// Tandems used for calls to this node, each with the length of its last pause and the end of that pause.
+    /// The length is 0 if the last call over the tandem was established.
     tandems: BTreeMap<NodeNumber, (f64, f64)>,
+    /// Free circuits toward this node; `None` until they are reported.
     free_circuits: Option<f64>,
+    /// Whether free circuits have been reported on a change, outside of attempt outcomes.
     free_circuits_pushed: bool,
-    /// Circuits seized by sends at the latest instant of sending.
+    /// Time of the last set-up sent.
     last_send_at: f64,
+    /// Circuits seized by the set-ups sent at `last_send_at`.
     last_send_circuits: f64,
-    /// Share of recent direct tries that found no circuit.
+    /// Smoothed share of calls that found no free circuit on the direct route.
     blocking: f64,
-    /// Set-ups sent in this cycle; while it is warm and answers, smoothed, a second. A flood counts little.
+    /// Set-ups sent in this cycle.
     sent_in_cycle: f64,
+    /// Smoothed rate of set-ups sent while the node was warm and answering, per second. A short flood of
+    /// calls changes it little.
     sent_rate: f64,
 }
 
+/// The outstanding attempt of a call, or the one that established it.
 #[derive(Debug)]
 struct Attempt {
     node: NodeNumber,
     sent_at: f64,
-    /// Still counts in the windows.
+    /// Whether it counts as unanswered in the windows.
     counted_in_window: bool,
-    /// Out for longer than set-ups usually are; and taken for lost, so not held against the place.
+    /// Whether it has been unanswered for longer than `OVERDUE_MULTIPLE` usual set-up times.
     is_overdue: bool,
+    /// Whether it is taken to be lost on the way, so that its silence does not shrink the node's window.
     presumed_lost: bool,
 }
 
+/// A call without a final answer, or an established one.
 #[derive(Debug)]
 struct Call {
     offered: OfferedCall,
+    /// Index of the class, limited to the classes of the settings.
     class: usize,
+    /// Circuits that the call seizes.
     circuits: f64,
+    /// Time at which the caller gives up.
     deadline: f64,
+    /// Target delay of the class in seconds.
     target_delay: f64,
-    /// When the caller first dialled: it earns its full worth if it stands within the aim from then.
+    /// Time of the caller's first try. The call has its full value if it is established within the target
+    /// delay from then on.
     first_dialled_at: f64,
-    /// Waits here, unsent, for a window or the quota; refused at this time.
+    /// Time until which the call may be held for a window or for admission; it is refused then.
     hold_until: f64,
     attempts_made: u32,
     attempt: Option<Attempt>,
-    /// Not sent again before this (rule 5).
+    /// Earliest time of the next attempt (rule 5).
     not_before: f64,
-    /// Not safe to repeat, and an attempt may have run: never sent again, and only `Fail` can end it.
+    /// Whether an attempt may have run although the class is not safe to repeat. The call is then not sent
+    /// again, and its final answer can only be [`Action::Fail`].
     repeat_forbidden: bool,
     is_established: bool,
-    /// Its direct route has been counted as free or blocked.
+    /// Whether the call has been counted in the blocking of its destination.
     blocking_recorded: bool,
+    /// Nodes to which the call has been sent since its last pause.
     tried_nodes: Vec<NodeNumber>,
 }
 
 impl Call {
+    /// Returns whether the call is held and its next attempt may be made.
     fn is_ready_to_send(&self, now: f64) -> bool {
         self.attempt.is_none() && !self.is_established && now >= self.not_before
     }
 }
 
-/// Decides for one exchange. See the crate's page for how to embed it.
+/// Makes the decisions of one router. The crate documentation shows how it fits into the programs.
+///
+/// Times are seconds on the host's clock.
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
-    /// Shortest aim, and the length of a spell, s.
+    /// Shortest target delay of all classes in seconds.
     min_target_delay: f64,
+    /// Base interval in seconds, see [`BASE_INTERVAL_SHARE`].
     base_interval: f64,
     rng: fastrand::Rng,
+    /// Time of the latest event.
     now: f64,
+    /// Time at which the current cycle of the admission control ends.
     cycle_end: f64,
     cycles_ended: u64,
+    /// Whether the first event has been handled.
     is_started: bool,
+    /// Whether the directory is to be subscribed to again at the end of the cycle.
     resubscribe_pending: bool,
+    /// Admission control of the local processor.
     admission: AdmissionControl,
+    /// Window of the local processor, which handles the set-ups to all nodes.
     local_window: Window,
-    /// When a set-up to anywhere last stood easily; smoothed, how long they take, s, and the share lost.
+    /// Time at which a set-up to any node was last established without being slow.
     last_timely_answer_at: f64,
+    /// Smoothed set-up time over all nodes in seconds.
     set_up_time: f64,
+    /// Smoothed share of lost set-ups over all nodes.
     loss_share: f64,
-    /// What the operators were told last.
+    /// Whether the last log line about the local processor reported an overload.
     local_overload_logged: bool,
+    /// Safe rate in the last log line about it.
     logged_safe_rate: Option<f64>,
-    /// Numbers of calls that ended without standing, and when they were first dialled.
+    /// Called numbers of calls that ended without being established, with the time of the first try.
     redials: BTreeMap<Arc<str>, f64>,
     exchanges: BTreeMap<ExchangeId, Exchange>,
     nodes: BTreeMap<NodeNumber, NodeState>,
     calls: BTreeMap<CallId, Call>,
     call_timers: BTreeMap<TimerToken, CallId>,
-    /// Numbers whose lines were all busy: last rest, and its end.
+    /// Numbers that were busy, each with the length and the end of its last pause.
     busy_numbers: BTreeMap<Arc<str>, (f64, f64)>,
+    /// Token of the next call timer.
     next_timer: u64,
     lines_logged: usize,
 }
 
 impl Controller {
-    /// Makes a controller; `now` is the clock's reading.
+    /// Creates a controller that starts at `now` on the host's clock.
     ///
     /// # Errors
-    /// When the settings name no class or no fleet, or a figure makes no sense.
+    /// Returns an error if the settings name no class or a fleet of 0, or if a class has a target delay of 0
+    /// or a value that is not finite.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         let is_invalid = |c: &Class| c.target_delay.is_zero() || !c.value.is_finite();
         if settings.classes.is_empty() || settings.classes.iter().any(is_invalid) || settings.fleet_size == 0
@@ -215,7 +272,7 @@
         })
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.as_secs_f64());
         if !std::mem::replace(&mut self.is_started, true) {
@@ -263,7 +320,7 @@
         }
     }
 
-    /// Ends the cycles that are over; false if none is.
+    /// Ends the cycles of the admission control that are over. Returns whether there was one.
     fn end_cycles(&mut self) -> bool {
         let before = self.cycles_ended;
         while self.cycle_end <= self.now + 1e-6 {
@@ -291,15 +348,16 @@
         self.cycles_ended > before
     }
 
+    /// Returns the node of this router's own exchange; `None` if the nodes are pools.
     fn own_node(&self) -> Option<NodeNumber> {
         let Topology::Meshed(node) = self.settings.topology else { return None };
         Some(node)
     }
 
-    // ---- the directory -------------------------------------------------------------------------
+    // ---- directory and load reports ------------------------------------------------------------
 
     fn on_directory_update(&mut self, kind: UpdateKind, entries: &Arc<Vec<DirectoryEntry>>) {
-        // Asked again at the end of a cycle, so that a refusing registry is not flooded.
+        // The directory is asked again at the end of the cycle, so that one that refuses is not flooded.
         self.resubscribe_pending |= kind == UpdateKind::Failed;
         let is_complete = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         self.exchanges.values_mut().filter(|_| is_complete).for_each(|e| e.health = Health::Gone);
@@ -318,17 +376,20 @@
         }
     }
 
-    /// The machine that takes new work for a place: live, and the latest started if there are two.
+    /// Returns the exchange that takes new set-ups for a node: a live one, or the last started of several.
     fn exchange_in_service(&self, node: NodeNumber) -> Option<(&ExchangeId, &Exchange)> {
         let live = self.exchanges.iter().filter(|(_, e)| e.node == node && e.health == Health::Live);
         live.max_by(|a, b| a.1.warm_at.total_cmp(&b.1.warm_at))
     }
 
+    /// Applies the figures of a load report; `pushed` if the exchange sent it outside of an attempt's
+    /// outcome.
     fn apply_load_report(&mut self, exchange: &ExchangeId, load_report: &[f64], pushed: bool) {
         let Some(node) = self.exchanges.get(exchange).map(|e| e.node) else { return };
         let state = self.nodes.entry(node).or_default();
         for (gauge, value) in self.settings.gauges.iter().zip(load_report).filter(|(_, v)| **v >= 0.0) {
-            // Strain told by the processor itself: pressed above one, at ease below zero.
+            // Load as reported by the processor itself: above 1 it is overloaded, below 0 it has spare
+            // capacity.
             let overload_level = match gauge {
                 Gauge::LatencyMs => {
                     (value / 1000.0 / self.min_target_delay - FAST_ANSWER) / (SLOW_ANSWER - FAST_ANSWER)
@@ -347,10 +408,11 @@
             } else if overload_level < 0.0 && state.window.outstanding < 1.0 {
                 state.window.size = state.window.size.max(1.0);
             }
-            // Once free circuits are told as they change, those in reports are older news.
+            // Once free circuits are pushed on each change, the figures in outcomes are older and are
+            // ignored.
             if *gauge == Gauge::FreeCircuits && (pushed || !state.free_circuits_pushed) {
                 state.free_circuits_pushed |= pushed;
-                // What was sent in this very instant is not in the figure yet.
+                // Circuits seized at this very time are not yet in the reported figure.
                 let not_yet_reported =
                     if state.last_send_at == self.now { state.last_send_circuits } else { 0.0 };
                 state.free_circuits = Some(*value - not_yet_reported);
@@ -358,13 +420,15 @@
         }
     }
 
-    // ---- the path of one call ------------------------------------------------------------------
+    // ---- processing of a call ------------------------------------------------------------------
 
-    /// When the caller first dialled: a number dialled again after a call to it ended without standing is
-    /// taken for the same caller's redial, as is a repeat that is flagged.
+    /// Returns when the caller first dialled. A call to a number whose last call ended without being
+    /// established is taken for a redial by the same caller, if redials are not flagged or this one is.
+    /// Reconnected calls and calls in transit are never redials.
     ///
-    /// Guards against late worth taken for full worth, and fresh calls with little time left taken for
-    /// late ones. Harm: of many callers of one number some are taken for another's redial, hence late.
+    /// Without this, a late redial would be taken to have its full value, and a first call with little time
+    /// left would be taken to be late. The drawback: of many callers of one number, some are taken for the
+    /// redial of another and so count as late.
     fn first_dialled_at(&mut self, offered: &OfferedCall) -> f64 {
         let first = self
             .redials
@@ -373,6 +437,7 @@
         first.filter(|_| !offered.is_reconnect && !offered.is_transit).unwrap_or(self.now)
     }
 
+    /// Accepts a new call: routes it at once if possible, else holds it.
     fn on_call_offered(&mut self, offered: OfferedCall, actions: &mut Vec<Action>) {
         self.admission.offered_calls += 1.0;
         if self.calls.contains_key(&offered.call) {
@@ -403,7 +468,8 @@
         if let Some(via) =
             call.offered.via.filter(|_| self.settings.has_route_advice && !call.offered.is_transit)
         {
-            // The centre saw room over this tandem: it joins those that are known to lead there.
+            // The routing advice found free circuits over this tandem, so it is treated like one that has
+            // established a call, unless it is paused.
             let tandem =
                 self.nodes.entry(call.offered.destination).or_default().tandems.entry(via).or_default();
             *tandem = if self.now > tandem.1 { (0.0, 0.0) } else { *tandem };
@@ -413,6 +479,7 @@
         self.start_call_timer(hold_until, &id, actions);
     }
 
+    /// Starts a timer that dispatches the call again 1 ms after `at`.
     fn start_call_timer(&mut self, at: f64, id: &CallId, actions: &mut Vec<Action>) {
         let after = Duration::from_secs_f64((at - self.now).max(0.0) + 0.001);
         let token = TimerToken(self.next_timer);
@@ -421,17 +488,19 @@
         actions.push(Action::StartTimer { after, token });
     }
 
-    /// Whether a call sent now would stand only after its aim, going by recent set-up times there.
+    /// Returns whether a call sent now would be established only after its target delay, judging by recent
+    /// set-up times of its destination.
     fn is_late(&self, call: &Call) -> bool {
         self.now + self.nodes.get(&call.offered.destination).map_or(0.0, |s| s.set_up_time)
             > call.first_dialled_at + call.target_delay
     }
 
-    /// The number answered busy (its rest doubles) or took a call (its rest is over).
+    /// Records that a number was busy, which doubles its pause, or took a call, which ends its pause.
     ///
-    /// Guards against a focused overload: calls to a number with few lines are held, at no work to any
-    /// processor, and only as many go as find out whether a line is free. Should cover any number that
-    /// cannot be reached. Harm: a line that falls free waits for the end of a rest, 4 s at most.
+    /// This limits a focused overload: calls to a number with few lines are held here without work for any
+    /// processor, and only enough are sent to find out whether a line is free. It should work likewise for
+    /// any number that cannot be reached. The drawback: a line that becomes free is unused until the end of
+    /// the pause, 4 s at most.
     fn record_number_state(&mut self, number: &Arc<str>, is_busy: bool) {
         if !is_busy {
             self.busy_numbers.remove(number);
@@ -444,13 +513,13 @@
         }
     }
 
-    /// Worth of a call if it were sent now.
+    /// Returns the value that a call would earn if it were sent now.
     fn value_now(&self, call: &Call) -> f64 {
         let class = &self.settings.classes[call.class];
         class.value * if self.is_late(call) { class.late_value_share } else { 1.0 }
     }
 
-    /// Sends what is held, the worthiest first, as far as windows and quota are open.
+    /// Sends held calls in the order of their value, as far as the windows and the admission control allow.
     fn send_held_calls(&mut self, actions: &mut Vec<Action>) {
         if !self.local_window.is_open(self.now, false) || !self.admission.has_capacity() {
             return;
@@ -459,13 +528,14 @@
         let mut ready: Vec<_> = ready
             .map(|(id, c)| (self.value_now(c), c.first_dialled_at + c.target_delay, id.clone()))
             .collect();
-        // Of equal worth the newest goes first: it has most of its aim left.
+        // Of calls with equal value the newest goes first, since it has most of its target delay left.
         ready.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.total_cmp(&a.1)));
         ready.into_iter().for_each(|(_, _, id)| self.dispatch(&id, actions));
     }
 
-    /// Routes a call if its destination and the own processor can take it; else it is held, and
-    /// refused when its time to be held is over.
+    /// Routes a call if its destination and the local processor can take it. Else the call is held, and
+    /// refused once its holding time is over. A call that is already being set up is checked for being
+    /// overdue.
     fn dispatch(&mut self, id: &CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get(id) else { return };
         if !call.is_ready_to_send(self.now) {
@@ -473,7 +543,7 @@
         }
         let destination_state = self.nodes.get(&call.offered.destination);
         let is_late = !call.offered.is_transit && self.is_late(call);
-        // In a mesh every way ends at the destination; of pools another may take the call.
+        // In a mesh every route ends at the destination; with pools another pool may take the call.
         let is_reachable = destination_state.is_none_or(|s| s.window.is_open(self.now, is_late));
         let is_reachable = is_reachable && self.exchange_in_service(call.offered.destination).is_some();
         let is_number_paused =
@@ -490,7 +560,8 @@
         }
     }
 
-    /// Direct first, else one random tandem (or pool of second choice), else held until one is free.
+    /// Sends a call on the direct route, else over a random tandem (or to another pool). If neither is
+    /// possible the call is held until circuits are free, or refused if it has no route left.
     fn route(&mut self, id: &CallId, actions: &mut Vec<Action>) {
         let is_late = self.calls.get(id).is_some_and(|c| self.is_late(c));
         let Some(call) = self.calls.get_mut(id) else { return };
@@ -498,15 +569,15 @@
             (call.offered.destination, call.circuits, call.offered.is_transit, call.hold_until);
         let (is_first_try, tried_nodes) =
             (!std::mem::replace(&mut call.blocking_recorded, true), call.tried_nodes.clone());
-        // Guards the calls of a router that is down: the front hands them to others, to the destination's own
-        // too, and from there only another exchange leads to it.
+        // When a router is down, the front hands its calls to the other routers, and so also to the router of
+        // the destination exchange. From there the destination can be reached over another exchange only.
         let (is_pooled, to_own_node) = (self.own_node().is_none(), self.own_node() == Some(destination));
         let state = self.nodes.entry(destination).or_default();
         let is_blocked = state.free_circuits.is_some_and(|free| free < circuits);
         if is_first_try {
             state.blocking += BLOCKING_SMOOTHING * (f64::from(u8::from(is_blocked)) - state.blocking);
         }
-        // A call that earns little leaves the last circuits to those that stand in time.
+        // A late call earns little, so it leaves the last circuits to calls that can be established in time.
         let reserved = circuits + RESERVED_CIRCUITS + RESERVED_CIRCUITS_PER_BLOCKING * state.blocking;
         let is_reserved = is_late && !is_transit && state.free_circuits.is_some_and(|free| free < reserved);
         let is_closed = is_pooled && !state.window.is_open(self.now, is_late);
@@ -533,6 +604,8 @@
         }
     }
 
+    /// Returns the tandems over which a call may be sent now. If there are tandems whose last call to the
+    /// destination was established, only those are returned.
     fn candidate_tandems(&self, id: &CallId, tried_nodes: &[NodeNumber]) -> Vec<NodeNumber> {
         let found = self.calls.get(id).and_then(|c| self.nodes.get(&c.offered.destination).map(|s| (c, s)));
         let Some((call, destination_state)) = found else { return Vec::new() };
@@ -561,12 +634,13 @@
         candidates
     }
 
-    /// The one way out for a set-up. Keeps rules 2 to 5; false when one of them forbids it.
+    /// Sends a set-up, or returns false if one of the rules 2 to 5 or a limit forbids it. No set-up is sent
+    /// elsewhere.
     fn send_set_up(&mut self, id: &CallId, node: NodeNumber, actions: &mut Vec<Action>) -> bool {
         let Some((exchange_id, is_cold)) =
             self.exchange_in_service(node).map(|(id, e)| (id.clone(), e.warm_at > self.now))
         else {
-            return false; // rule 3: nothing to a machine that drains or is gone
+            return false; // rule 3: no exchange is in service
         };
         if is_cold && !self.has_cold_budget(&exchange_id) {
             return false; // rule 4
@@ -608,8 +682,12 @@
         true
     }
 
-    /// Rule 4: this sender's share of what a cold exchange can take over the window. Guards against one kept
-    /// idle, too: what was sent there while it was warm tells more than what is dialled here.
+    /// Returns whether rule 4 allows another set-up to a cold exchange: whether this router's share of what
+    /// the exchange can take within the window is not used up.
+    ///
+    /// The share is estimated from the rate that this router sent while the exchange was warm, if that is
+    /// more than an equal part of the calls offered here. With the latter alone an exchange stayed idle after
+    /// a restart.
     fn has_cold_budget(&mut self, exchange_id: &ExchangeId) -> bool {
         let rules = &self.settings.rules;
         let window = rules.overload_window.as_secs_f64();
@@ -617,27 +695,28 @@
         let warm_rate = self.nodes.get(&exchange.node).map_or(0.0, |s| WARM_RATE_MULTIPLE * s.sent_rate);
         let sender_rate = warm_rate
             .max(self.admission.offered_rate.max(MIN_SAFE_RATE) / f64::from(self.settings.fleet_size));
-        // Its capacity grows until it is warm; the manner is not told, taken for even.
+        // The capacity grows during the warm-up. How it grows is not specified, so it is taken to be linear.
         let warm_up_left = ((exchange.warm_at - self.now) / rules.warm_up_time.as_secs_f64()).clamp(0.0, 1.0);
         let capacity_share = 1.0 - warm_up_left * (1.0 - rules.cold_capacity_share);
         let budget = COLD_BUDGET_SHARE * rules.overload_multiple * capacity_share * sender_rate * window;
-        // A share of less than one set-up: one in as many windows as make it up.
+        // With a budget of less than one set-up per window, one is sent in every 1 / budget windows.
         exchange.cold_send_times.retain(|t| *t > self.now - window / budget.min(1.0));
         (exchange.cold_send_times.len() as f64) + 1.0 <= budget.max(1.0)
     }
 
-    /// Final answer by the controller: refused, or failed where a refusal is not allowed.
+    /// Gives the final answer to a call: refused, or failed if an attempt may have run and must not be
+    /// repeated.
     fn refuse(&mut self, id: &CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(id) else { return };
         self.remember_for_redial(&call);
-        // The later the redial, the better for the processors.
+        // The longest hold-off is used, since a later redial means less load for the processors.
         let hold_off =
             self.settings.limits.retry_after_allowed.then_some(self.settings.limits.max_retry_after);
         let refusal = Action::Refuse { call: id.clone(), hold_off };
         actions.push(if call.repeat_forbidden { Action::Fail(id.clone()) } else { refusal });
     }
 
-    /// Gives up every call that does not stand, since the router stops.
+    /// Refuses or fails every call that is not established, because the router stops.
     pub fn give_up_all(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.now = self.now.max(now.as_secs_f64());
         let unanswered: Vec<CallId> =
@@ -650,26 +729,30 @@
         }
     }
 
+    /// Remembers the number of a call that ends without being established, to recognise its redial.
     fn remember_for_redial(&mut self, call: &Call) {
         if !call.is_established && !call.offered.is_transit {
             self.redials.insert(call.offered.called_number.clone(), call.first_dialled_at);
         }
     }
 
-    /// λs is learned from what is ours: delay toward a place that is shut for itself says nothing of us.
+    /// Records a set-up delay for the learning of the safe rate λs, which is that of the local processor. The
+    /// delay of a node whose own window is closed is left out while the local window is open, since it says
+    /// nothing about the local processor.
     fn record_local_delay(&mut self, node: NodeNumber, relative_delay: f64) {
         if self.local_window.size < 1.0 || self.nodes.get(&node).is_none_or(|s| s.window.size >= 1.0) {
             self.admission.record_delay(relative_delay);
         }
     }
 
-    /// A set-up is answered, one way or other: it leaves the windows.
+    /// Removes a set-up from the windows after its answer, its failure or its cancellation.
     fn remove_from_windows(&mut self, node: NodeNumber, elapsed: f64) {
         self.local_window.on_answered(elapsed, self.now, MAX_TRIAL_INTERVAL * self.base_interval);
         let state = self.nodes.get_mut(&node).into_iter();
         state.for_each(|s| s.window.on_answered(elapsed, self.now, MAX_TRIAL_INTERVAL * self.base_interval));
     }
 
+    /// Updates the windows, set-up times and loss shares after a call was established.
     fn on_call_established(&mut self, id: &CallId, elapsed: f64, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(id) else { return };
         let Some(attempt) = call.attempt.as_ref().filter(|_| !call.is_established) else { return };
@@ -703,6 +786,8 @@
         self.send_held_calls(actions);
     }
 
+    /// Handles the end of an attempt: finds the node responsible for a failure, then sends the call again,
+    /// holds it, or gives its final answer.
     fn on_attempt_ended(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         self.apply_load_report(&outcome.exchange, &outcome.load_report, false);
         let Some(call) = self.calls.get_mut(&outcome.call) else { return };
@@ -710,10 +795,12 @@
             return;
         };
         if outcome.status == AttemptStatus::Moot {
-            // The other end took the last circuit first: the way itself stays open to this call.
+            // The set-up was not sent, since the far end seized the last circuit first. The call may try this
+            // route again.
             call.tried_nodes.retain(|n| *n != attempt.node);
             if matches!(outcome.failure_cause, Some(FailureCause::ProcessorFull(_))) {
-                // The own processor is down: half a window, so one trial a cycle and no other call is spent.
+                // The local processor is down. A window of 0.5 allows one trial per cycle, so that the other
+                // calls do not use up their attempts.
                 self.local_window.size = self.local_window.size.min(0.5);
             } else if let Some(state) =
                 self.nodes.get_mut(&attempt.node).filter(|s| s.free_circuits.is_some())
@@ -734,7 +821,8 @@
                     if is_failure { elapsed.max(self.base_interval) } else { elapsed },
                 );
             }
-            // Whose fault: the processor sent to, or with a tandem that turned back the one beyond it.
+            // The overloaded node is the one that the set-up was sent to, or the destination if the tandem
+            // reported that one as full.
             let failed_node = match (outcome.status, outcome.failure_cause) {
                 (_, Some(FailureCause::DestinationFull)) => Some(destination),
                 (AttemptStatus::TimedOut, _) => (!attempt.presumed_lost).then_some(attempt.node),
@@ -785,13 +873,15 @@
             Some(FailureCause::DestinationFull | FailureCause::ProcessorFull(_))
         );
         if is_overloaded || outcome.status == AttemptStatus::Error {
-            // No way leads round a full processor or busy lines; what merely failed goes again in time.
+            // Another route does not help if the processor is full or the number busy, so the call waits for
+            // a base interval. After other errors it is sent again after a fortieth of its target delay.
             let is_busy = is_overloaded || outcome.failure_cause == Some(FailureCause::UserBusy);
             let pause = if is_busy { self.base_interval } else { call.target_delay / 40.0 };
             call.not_before = call.not_before.max(self.now + pause);
         }
         let not_before = call.not_before;
-        // One that ended unanswered has run its course: its answer was lost, and may still come.
+        // A call that ended before its answer came has run at the exchange; the answer was lost or is still
+        // to come. It must not be sent again.
         let is_over = outcome.status == AttemptStatus::Ended || call.repeat_forbidden;
         let is_given_up = is_over || call.attempts_made >= self.settings.limits.max_attempts;
         if call.offered.is_transit || is_given_up || not_before >= call.hold_until {
@@ -805,12 +895,14 @@
         self.send_held_calls(actions);
     }
 
-    /// A set-up is out for several usual set-up times. If the next to the same place stands while this one
-    /// stays out, it was lost on the way; where many are lost, there or anywhere, overdue ones are called off
-    /// to be sent again within the aim, and are not held against the place.
+    /// Marks a set-up as overdue when it has been unanswered for several usual set-up times. If a later
+    /// set-up to the same node is established first, the overdue one counts as lost. While the share of lost
+    /// set-ups, to that node or over all nodes, is above the threshold, overdue set-ups are presumed lost:
+    /// they do not shrink the node's window, and they are cancelled if they may be sent again and this is
+    /// still possible within the target delay.
     ///
-    /// Guards against lost answers and lost signalling, toward one place among busier ones too. Harm: a
-    /// processor that has just become slow gets some set-ups twice.
+    /// This recovers from lost answers and lost signalling, also if they concern one node among busier ones.
+    /// The drawback: a processor that has just become slow gets some set-ups twice.
     fn cancel_if_overdue(&mut self, id: &CallId, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.get_mut(id).filter(|c| !c.is_established && !c.offered.is_transit) else {
             return;
@@ -839,7 +931,7 @@
         }
     }
 
-    /// Silence counts before any answer does: a set-up out for longer than it should take.
+    /// Shrinks the windows of nodes that leave a set-up unanswered for too long, before the set-up times out.
     fn check_unanswered(&mut self) {
         let mut expired = Vec::new();
         let mut silent_nodes = BTreeSet::new();
@@ -851,18 +943,20 @@
                 let state = self.nodes.get_mut(&attempt.node).into_iter();
                 state.for_each(|s| s.window.shrink(FAILURE_FACTOR, self.now, self.base_interval));
             }
-            // Past the aim it is given up for the windows, so that a trial can go to a silent processor.
+            // Past the target delay a set-up no longer counts in the windows, so that a trial can be sent to
+            // a silent processor.
             let is_expired = age > target_delay && std::mem::take(&mut attempt.counted_in_window);
             expired.extend(is_expired.then_some((attempt.node, age)));
         }
-        // Silence from several places and ease from none: the own processor's.
+        // If several nodes are silent and none answers in time, the local processor is taken to be the cause.
         if silent_nodes.len() > 1 && self.now > self.last_timely_answer_at + 2.0 * self.base_interval {
             self.local_window.shrink(FAILURE_FACTOR, self.now, self.base_interval);
         }
         expired.into_iter().for_each(|(node, age)| self.remove_from_windows(node, age));
     }
 
-    /// Tells the operators when a place, or the own processor, shuts or opens again.
+    /// Logs when the window of a node or of the local processor closes or opens again, and when the safe rate
+    /// changes.
     fn log_state_changes(&mut self, actions: &mut Vec<Action>) {
         let mut lines = Vec::new();
         for (node, state) in &mut self.nodes {
@@ -887,7 +981,7 @@
         actions.extend(lines.into_iter().take(lines_left).map(Action::Log));
     }
 
-    /// Things remembered at present: calls, timers, numbers, machines and places.
+    /// Returns the number of calls, timers, numbers, exchanges and nodes that are kept in memory.
     pub fn state_size(&self) -> usize {
         let calls = self.calls.len() + self.call_timers.len() + self.redials.len();
         calls + self.busy_numbers.len() + self.exchanges.len() + self.nodes.len()
--- a/src/policy/shutdown.rs
+++ b/src/policy/shutdown.rs
@@ -1,33 +1,33 @@
-//! When a router that was told to stop does what: serves on, closes idle connections, gives up, ends.
+//! Schedule of a stopping router: it closes idle connections, then gives up open requests, then exits.
 
 use std::time::Duration;
 
-/// Longest deadline that a stop waits for; longer ones are counted as this.
+/// Longest class deadline that a stop waits for. Longer deadlines count as this one.
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// A stop by force comes so long after the longest deadline at the earliest.
+/// Shortest time between the longest deadline and a forced stop.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// Before that, what is still open is given up: time for the answers to be written and read.
+/// Time between giving up the open requests and a forced stop, for the answers to be written and read.
 const GIVE_UP_LEAD: Duration = Duration::from_millis(300);
-/// The process ends so long before it could be killed.
+/// Time between the exit of the process and a forced stop.
 const EXIT_LEAD: Duration = Duration::from_millis(100);
-/// Connections and their first requests go on coming for so long.
+/// Time after the signal during which new connections and their first requests still arrive.
 const ARRIVAL_PERIOD: Duration = Duration::from_millis(1300);
-/// Connections are closed so long before the rest is given up, at least.
+/// Shortest time between closing idle connections and giving up the open requests.
 const CLOSE_IDLE_LEAD: Duration = Duration::from_millis(200);
 
-/// Times of an orderly stop, from the signal on.
+/// Times of an orderly stop, counted from the signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// No new connection is taken, and idle ones are closed.
+    /// Time until no new connection is accepted and idle ones are closed.
     pub close_idle_after: Duration,
-    /// Every open request is answered, and no other is taken up.
+    /// Time until every open request is answered and new ones are refused.
     pub give_up_after: Duration,
-    /// The process ends, whatever is left.
+    /// Time until the process exits, whatever is left.
     pub exit_after: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The times for a deployment whose longest class deadline is given.
+    /// Returns the schedule of a deployment whose classes have this longest deadline.
     pub fn new(longest_deadline: Duration) -> Self {
         let kill_after = longest_deadline.min(MAX_DEADLINE) + KILL_MARGIN;
         let give_up_after = kill_after - GIVE_UP_LEAD;
