--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -239,7 +239,9 @@
         let is_invalid = |c: &Class| c.target_delay.is_zero() || !c.value.is_finite();
         if settings.classes.is_empty() || settings.classes.iter().any(is_invalid) || settings.fleet_size == 0
         {
-            return Err(SettingsError("no fleet, no classes, or a class with no aim or no worth"));
+            return Err(SettingsError(
+                "FleetSize is 0, Classes is empty, or a class has AimNs 0 or a Worth that is not finite",
+            ));
         }
         let now = now.as_secs_f64();
         let min_target_delay =
@@ -962,19 +964,24 @@
         for (node, state) in &mut self.nodes {
             let is_closed = state.window.size < 1.0;
             if std::mem::replace(&mut state.closed_window_logged, is_closed) != is_closed {
-                let what =
-                    if is_closed { "unanswered or slow, trials only" } else { "answers in time again" };
+                let what = if is_closed {
+                    "set-ups unanswered or slow, only trial set-ups are sent"
+                } else {
+                    "set-ups answered in time again, no longer limited to trials"
+                };
                 lines.push(format!("place {}: {what}", node.0));
             }
         }
         let is_overloaded = self.local_window.size < 1.0;
         if std::mem::replace(&mut self.local_overload_logged, is_overloaded) != is_overloaded {
-            let what = if is_overloaded { "pressed, set-ups held" } else { "at ease again" };
-            lines.push(format!("own processor {what}"));
+            let what = if is_overloaded { "overloaded, set-ups are held" } else { "no longer overloaded" };
+            lines.push(format!("local processor {what}"));
         }
         if std::mem::replace(&mut self.logged_safe_rate, self.admission.safe_rate) != self.admission.safe_rate
         {
-            lines.extend(self.admission.safe_rate.map(|safe| format!("safe rate set to {safe:.1} a second")));
+            lines.extend(
+                self.admission.safe_rate.map(|safe| format!("safe rate set to {safe:.1} calls per second")),
+            );
         }
         let lines_left = MAX_LOG_LINES - self.lines_logged.min(MAX_LOG_LINES);
         self.lines_logged += lines.len();
