--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,411 +1,416 @@
-//! What goes in and out of the decision module: settings, events, actions and ids.
+//! Interface of the decision module: its settings, the events it handles, the actions it returns, and the ids
+//! used in them.
 //!
-//! Nothing here decides anything. Times of day are read on the host's clock and given as a
-//! [`Duration`] since that clock's origin; the module never reads a clock itself.
+//! A time is given as the [`Duration`] since the origin of the host's clock. The module never reads a clock
+//! itself.
+//!
+//! An exchange (a machine with an [`ExchangeId`]) serves a node (a [`NodeNumber`] in the network). A router
+//! asks an exchange to set a call up; the call is established once the exchange has confirmed the set-up.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A call, as the host names it.
+/// Id of a call, assigned by the host.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub Arc<str>);
 
-/// One machine that serves an exchange (or a pool), as the directory names it.
+/// Id of a machine that serves an exchange (or a pool), as listed in the directory.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub Arc<str>);
 
-/// Number of an exchange or pool in the network; two machines may hold one during a replacement.
+/// Number of a node, which is an exchange or a pool of agents in the network. During a replacement two
+/// machines serve one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeNumber(pub u32);
 
-/// A timer's name, picked by the module.
+/// Token of a timer, assigned by the decision module.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
 
-/// Whether a set-up may be repeated.
+/// Whether a set-up that may have run can be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of set-ups does no harm.
+    /// A set-up can be repeated any number of times.
     Safe,
-    /// Repeats are discarded by the exchanges of one scope within a window.
+    /// The exchanges of this scope discard repeats within this time.
     Keyed(DedupScope, Duration),
-    /// Only a set-up proven never to have run may be repeated.
+    /// A set-up can be repeated only if it is certain not to have run.
     Unsafe,
 }
 
-/// Exchanges that know of each other's keyed set-ups.
+/// Group of exchanges that detect repeats of keyed set-ups among each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
     /// All exchanges.
     All,
-    /// Those of one zone.
+    /// Exchanges of one zone.
     Zone,
-    /// Those of one place.
+    /// Exchanges of one node.
     Node,
 }
 
-/// A class of calls.
+/// Settings of a class of calls.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Wanted to stand within this.
+    /// Time within which a call is to be established to earn its full value.
     pub target_delay: Duration,
-    /// Given up by the caller after this, all tries together.
+    /// Time after which the caller gives up, counted over all its tries.
     pub deadline: Duration,
-    /// What a call that stands in time is worth.
+    /// Value of a call that is established within the target delay.
     pub value: f64,
-    /// Share of the worth earned between aim and deadline.
+    /// Share of the value earned by a call that is established between the target delay and the deadline.
     pub late_value_share: f64,
-    /// Whether a set-up may be repeated.
+    /// Whether set-ups of the class can be repeated.
     pub idempotency: Idempotency,
-    /// Circuits seized on each group.
+    /// Number of circuits that a call seizes on each trunk group of its route.
     pub circuits: u32,
-    /// Mean holding time.
+    /// Mean time for which a call stays established.
     pub mean_holding_time: Duration,
-    /// With pools: where the class may go; empty means anywhere.
+    /// Pools that can serve the class; empty if every pool can. Used with [`Topology::Pools`].
     pub pools: Vec<NodeNumber>,
 }
 
-/// A customer with a share of the network.
+/// Settings of a customer that has a quota of calls.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Calls a second within its share, over all controllers.
+    /// Calls per second within the quota, over all controllers.
     pub quota_per_s: f64,
 }
 
-/// How exchanges are connected.
+/// How the nodes are connected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topology {
-    /// Circuit groups between exchanges; the controller belongs to the exchange named.
+    /// Exchanges connected by trunk groups. The controller belongs to the exchange of this node.
     Meshed(NodeNumber),
-    /// Pools of agents shared by all controllers; no transit.
+    /// Pools of agents that all controllers share, without transit.
     Pools,
 }
 
-/// The figures of the five rules.
+/// Parameters of the rules that the controllers have to keep (listed in [`crate::policy`]).
 #[derive(Debug, Clone, Default)]
 pub struct RuleSettings {
-    /// Time from being told of a drain until sends must have stopped.
+    /// Time between the report of a drain and the last set-up that may still be sent.
     pub drain_grace: Duration,
-    /// Least share of its capacity that a freshly started exchange has.
+    /// Lowest share of its capacity that an exchange has after its start.
     pub cold_capacity_share: f64,
-    /// A started exchange is warm after this.
+    /// Time after which a started exchange has its full capacity.
     pub warm_up_time: Duration,
-    /// A cold exchange falls when sent this many times what it can do ...
+    /// A cold exchange fails if it is sent this multiple of its capacity for the length of `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// Time for which a cold exchange bears `overload_multiple` times its capacity.
     pub overload_window: Duration,
-    /// Where the registry is asked: longest time between questions.
+    /// Longest time between two requests to a directory that has to be polled.
     pub max_poll_interval: Duration,
 }
 
-/// What a controller may do.
+/// Limits and permissions of a controller.
 #[derive(Debug, Clone, Default)]
 pub struct PolicyLimits {
-    /// Attempts for one call.
+    /// Largest number of attempts for one call.
     pub max_attempts: u32,
-    /// An attempt may be called off.
+    /// Whether an attempt may be cancelled.
     pub cancel_allowed: bool,
-    /// Exchanges may be probed.
+    /// Whether exchanges may be probed.
     pub probes_allowed: bool,
-    /// Messages to other controllers are allowed.
+    /// Whether messages may be sent to other controllers.
     pub peer_messages_allowed: bool,
-    /// Callers are told how long to stay away.
+    /// Whether a refusal may tell the caller a hold-off.
     pub retry_after_allowed: bool,
-    /// The longest such time that callers follow.
+    /// Longest hold-off that callers obey.
     pub max_retry_after: Duration,
 }
 
-/// A figure of a load report; the place in [`Settings::gauges`] is its place in a report.
+/// Meaning of a figure in a load report. The index in [`Settings::gauges`] is the index in the report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gauge {
-    /// Free circuits (agents) toward the exchange.
+    /// Number of free circuits (agents) toward the exchange.
     FreeCircuits,
-    /// Size of the group (pool).
+    /// Number of circuits (agents) in the trunk group (pool).
     TotalCircuits,
-    /// Messages in work at the processor.
+    /// Number of messages that the processor is handling.
     InFlight,
-    /// Messages waiting there.
+    /// Number of messages that wait for the processor.
     Queued,
-    /// Share of the processor occupied.
+    /// Share of the processor that is in use.
     Utilization,
-    /// Wait at the processor in milliseconds.
+    /// Waiting time at the processor in milliseconds.
     LatencyMs,
-    /// New set-ups a second that it can take from all senders.
+    /// New set-ups per second that the processor can take from all senders together.
     AllowedRate,
     /// Share of new set-ups that each sender is asked to hold back.
     RequestedReduction,
-    /// A figure this version does not know.
+    /// A figure unknown to this version.
     Unknown,
 }
 
-/// Points lost per unit, as shares of one.
+/// Deductions from the score of a run, as shares of 1.
 #[derive(Debug, Clone, Default)]
 pub struct Penalties {
-    /// Worth that ended unserved after its aim.
+    /// Deduction for value that failed after its target delay.
     pub late_failure: f64,
-    /// Processor work without a set-up.
+    /// Deduction for processor work that led to no set-up.
     pub wasted_work: f64,
-    /// A probe for each first try.
+    /// Deduction for one probe per first attempt.
     pub probe: f64,
-    /// 256 bytes to a peer for each first try.
+    /// Deduction for 256 bytes of peer messages per first attempt.
     pub peer_message: f64,
 }
 
-/// All that a controller is told at its start.
+/// Settings of a controller, given at its start.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Classes of calls, by their number.
+    /// Classes of calls, indexed by class number.
     pub classes: Vec<Class>,
-    /// Tenants, by their number; may be empty.
+    /// Tenants, indexed by tenant number; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a call over its tenant's share, as a part of its class's worth.
+    /// Value of a call above its tenant's quota, as a share of the value of its class.
     pub over_quota_value_share: f64,
-    /// Controllers in the network.
+    /// Number of controllers in the network.
     pub fleet_size: u32,
-    /// Own number among the controllers.
+    /// Number of this controller among them, from 0.
     pub controller_number: u32,
-    /// How exchanges are connected.
+    /// How the nodes are connected.
     pub topology: Topology,
-    /// After a time-out, cut or cancel: time before the call may be sent again.
+    /// Time before a call may be sent again after a time-out, reset or cancel.
     pub guard_time: Duration,
-    /// A waiting set-up is repeated after this, at doubling gaps; zero: never.
+    /// Time after which an unanswered set-up is repeated, doubled with each repeat; zero if it never is.
     pub resend_interval: Duration,
-    /// The five rules' figures.
+    /// Parameters of the rules.
     pub rules: RuleSettings,
-    /// What is permitted.
+    /// Limits and permissions.
     pub limits: PolicyLimits,
-    /// Load reports: which figure stands where.
+    /// Meaning of each figure in a load report.
     pub gauges: Vec<Gauge>,
-    /// Prices.
+    /// Deductions from the score.
     pub penalties: Penalties,
-    /// The registry sends only what it is asked for.
+    /// Whether the directory has to be polled, as it sends updates on request only.
     pub registry_polled: bool,
-    /// Callers flag their repeats.
+    /// Whether callers flag their redials.
     pub redials_flagged: bool,
-    /// Calls bring a centre's advice.
+    /// Whether calls bring the routing advice of a traffic control centre.
     pub has_route_advice: bool,
-    /// The clock's step: events are handled no more often.
+    /// Resolution of the clock: events are handled at these intervals at most.
     pub tick: Duration,
 }
 
-/// What the directory says of a machine.
+/// State of an exchange in the directory. The log and the console print the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// In service.
+    /// In service: takes new set-ups.
     Live,
-    /// Finishing its work; nothing new.
+    /// Finishing its calls before a stop: takes no new set-ups.
     Draining,
-    /// Withdrawn.
+    /// Out of service, or no longer listed.
     Gone,
 }
 
-/// One line of the directory.
+/// Entry of the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryEntry {
-    /// The machine.
+    /// Id of the machine.
     pub exchange: ExchangeId,
-    /// Whose place it holds.
+    /// Node that it serves.
     pub node: NodeNumber,
-    /// Its zone.
+    /// Number of its zone.
     pub zone: u32,
-    /// Its state.
+    /// State of the machine.
     pub health: Health,
-    /// Clock time of its last start; `None`: long ago.
+    /// Time of its last start; `None` if that was long ago.
     pub up_since: Option<Duration>,
 }
 
-/// How a directory event is to be read.
+/// Content of a directory update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Changed lines only.
+    /// Only the entries that have changed.
     Changes,
-    /// The complete list.
+    /// All entries.
     Full,
-    /// The complete list as last kept by this controller; may be old.
+    /// All entries as last stored by this router; they may be outdated.
     Stored,
-    /// A question failed or the subscription broke.
+    /// No entries, since a request or the subscription failed.
     Failed,
 }
 
-/// A call handed to the controller.
+/// A call that a caller asks for.
 #[derive(Debug, Clone)]
 pub struct OfferedCall {
-    /// Its id.
+    /// Id of the call.
     pub call: CallId,
     /// Class number.
     pub class: usize,
     /// Tenant number.
     pub tenant: usize,
-    /// Number called.
+    /// Called number.
     pub called_number: Arc<str>,
     /// Time until the caller gives up this try.
     pub remaining: Duration,
-    /// Destination (pool of first choice).
+    /// Destination node, or the pool of first choice.
     pub destination: NodeNumber,
-    /// Circuits it seizes; `None`: as its class.
+    /// Number of circuits that the call seizes; `None` for that of its class.
     pub circuits: Option<u32>,
-    /// The centre's advice, or for a call in transit where it comes from.
+    /// Tandem that the routing advice names; for a call in transit, the node that it comes from.
     pub via: Option<NodeNumber>,
-    /// A caller's repeat, flagged.
+    /// Whether the caller flagged the call as a redial.
     pub flagged_as_redial: bool,
-    /// In transit: on to its destination or back.
+    /// Whether the call is in transit: it is sent to its destination or refused, and over no other tandem.
     pub is_transit: bool,
-    /// It was cut and comes again.
+    /// Whether the caller reconnects a call that was cut off.
     pub is_reconnect: bool,
 }
 
-/// How an attempt ended.
+/// How an attempt ended. The log prints the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// The call has come to its end.
+    /// The call ran to its end, or was released after it was established.
     Ended,
-    /// Lines engaged or a signalling fault.
+    /// The called lines were busy, or signalling failed.
     Error,
-    /// Turned away or turned back.
+    /// The exchange refused the call, or the tandem cranked it back, for lack of capacity.
     Full,
-    /// No answer in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection.
+    /// No connection to the exchange could be opened, so the set-up was not sent.
     Unreachable,
-    /// The set-up or the standing call was cut.
+    /// The connection was lost during the set-up, or an established call was cut off.
     Reset,
-    /// Called off.
+    /// The router or the caller cancelled the attempt.
     Cancelled,
-    /// Not sent at all.
+    /// The set-up did not take place: it was not sent, or the far end seized the last circuit first.
     Moot,
 }
 
-/// Why an attempt failed, where told.
+/// Reason that an exchange reports for a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailureCause {
-    /// No circuit or agent.
+    /// No circuit or agent was free.
     NoCircuit,
-    /// The tandem sent it back.
+    /// The tandem cranked the call back, since it had no free circuit to the destination.
     CrankedBack,
-    /// The tandem sent it back: the processor after it was full.
+    /// The tandem cranked the call back, since the processor of the destination was full.
     DestinationFull,
-    /// The processor was full; with a wait where told.
+    /// The processor was full; with the time to wait, if reported.
     ProcessorFull(Option<Duration>),
-    /// All lines of the number are busy.
+    /// All lines of the called number were busy.
     UserBusy,
 }
 
-/// The end of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Its call.
+    /// Id of the call.
     pub call: CallId,
-    /// Number of the attempt.
+    /// Number of the attempt, from 0.
     pub attempt_number: u32,
-    /// Where it was sent.
+    /// Exchange that it was sent to.
     pub exchange: ExchangeId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// Time since the send.
+    /// Time since the set-up was sent.
     pub elapsed: Duration,
-    /// The call is over.
+    /// Whether the call is over, so that no further attempt may be made.
     pub call_ended: bool,
-    /// Why, where told.
+    /// Reason reported by the exchange.
     pub failure_cause: Option<FailureCause>,
-    /// Load report.
+    /// Load report, with a negative value for each missing figure; empty if there is none.
     pub load_report: Vec<f64>,
 }
 
-/// What happens to a controller.
+/// Event that a controller handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// News of the directory.
+    /// The directory sent an update, or failed to.
     DirectoryUpdate {
-        /// How to read the entries.
+        /// Content of the update.
         kind: UpdateKind,
-        /// The lines.
+        /// Entries of the update.
         entries: Arc<Vec<DirectoryEntry>>,
     },
-    /// A call is handed over.
+    /// A caller asks for a call.
     CallOffered(OfferedCall),
-    /// A call stands.
+    /// A call was established.
     CallEstablished {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt_number: u32,
-        /// Where it was sent.
+        /// Exchange that it was sent to.
         exchange: ExchangeId,
-        /// Time since the send.
+        /// Time since the set-up was sent.
         elapsed: Duration,
     },
-    /// An attempt ended.
+    /// An attempt ended, or the call that it established.
     AttemptEnded(Outcome),
-    /// A probe's answer, or the own circuits toward an exchange changed.
+    /// A probe ended, or the number of free circuits toward an exchange changed.
     LoadReported {
-        /// Which exchange.
+        /// Exchange that the report is about.
         exchange: ExchangeId,
-        /// The probe was answered.
+        /// Whether the probe was answered.
         probe_answered: bool,
-        /// Time since the probe; zero when unasked.
+        /// Time since the probe; zero for a report without a probe.
         elapsed: Duration,
-        /// Load report.
+        /// Load report, with a negative value for each missing figure.
         load_report: Vec<f64>,
     },
-    /// The caller has gone.
+    /// The call is over without an answer by the controller: the caller gave it up, or its time ran out.
     CallAbandoned(CallId),
-    /// A message from another controller.
+    /// Another controller sent a message.
     PeerMessage {
-        /// Sender.
+        /// Number of the sending controller.
         from: u32,
-        /// Its bytes.
+        /// Text of the message.
         payload: String,
     },
-    /// A timer is due.
+    /// A timer expired.
     TimerExpired(TimerToken),
 }
 
-/// What a controller does.
+/// Action that the host carries out for a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start a set-up.
+    /// Sends a set-up.
     SendSetUp {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// The machine it goes to.
+        /// Exchange that it goes to.
         exchange: ExchangeId,
-        /// Clock time to give it up.
+        /// Time at which the host gives the attempt up.
         give_up_at: Duration,
     },
-    /// Final answer: turned away.
+    /// Refuses a call, which is a final answer.
     Refuse {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// How long the caller should stay away, if told.
+        /// Time after which the caller may redial, if it is to be told.
         hold_off: Option<Duration>,
     },
-    /// Final answer: failed.
+    /// Fails a call that may have run, which is a final answer.
     Fail(CallId),
-    /// Call off an attempt.
+    /// Cancels an attempt.
     Cancel {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt_number: u32,
     },
-    /// Wake me.
+    /// Starts a timer.
     StartTimer {
-        /// After this time.
+        /// Time until it expires.
         after: Duration,
-        /// With this token.
+        /// Token of [`Event::TimerExpired`].
         token: TimerToken,
     },
-    /// Probe a machine.
+    /// Probes an exchange.
     Probe(ExchangeId),
-    /// Message to all other controllers.
+    /// Sends a message to all other controllers.
     Broadcast(String),
-    /// Subscribe to the directory.
+    /// Subscribes to the directory, or requests its entries if it has to be polled.
     Subscribe,
-    /// A line for the operators.
+    /// Writes a line to the log.
     Log(String),
 }
 
-/// Why a controller could not be made.
+/// Error for settings that a controller cannot work with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError(pub &'static str);
 
