--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -267,7 +267,7 @@
             probe: prices.probe.unwrap_or(0.0),
             peer_message: prices.peer.unwrap_or(0.0),
         },
-        registry_polled: info.registry_mode.as_deref() == Some("ask"),
+        directory_polled: info.registry_mode.as_deref() == Some("ask"),
         redials_flagged: info.clients.marks_retry.unwrap_or(false),
         has_route_advice: domain.advice.unwrap_or(false),
         tick: ns(info.tick_ns),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -184,7 +184,7 @@
     /// Deductions from the score.
     pub penalties: Penalties,
     /// Whether the directory has to be polled, as it sends updates on request only.
-    pub registry_polled: bool,
+    pub directory_polled: bool,
     /// Whether callers flag their redials.
     pub redials_flagged: bool,
     /// Whether calls bring the routing advice of a traffic control centre.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -282,7 +282,7 @@
                 after: Duration::from_secs_f64(self.base_interval),
                 token: CYCLE_TIMER,
             });
-            actions.extend(self.settings.registry_polled.then_some(Action::Subscribe));
+            actions.extend(self.settings.directory_polled.then_some(Action::Subscribe));
         }
         match event {
             Event::DirectoryUpdate { kind, entries } => self.on_directory_update(kind, &entries),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -52,7 +52,7 @@
         limits: PolicyLimits { max_attempts: 5, cancel_allowed: true, ..PolicyLimits::default() },
         gauges: vec![Gauge::FreeCircuits, Gauge::TotalCircuits],
         penalties: Penalties::default(),
-        registry_polled: false,
+        directory_polled: false,
         redials_flagged: false,
         has_route_advice: false,
         tick: ms(5),
--- a/tests/symptoms.rs
+++ b/tests/symptoms.rs
@@ -433,7 +433,7 @@
 
 #[test]
 fn a_registry_that_refuses_is_asked_again_once_a_cycle_and_the_list_is_kept() {
-    let mut net = Net::new(Settings { registry_polled: true, ..settings(3) }, 1);
+    let mut net = Net::new(Settings { directory_polled: true, ..settings(3) }, 1);
     let asked = |net: &Net| net.log.iter().filter(|a| **a == Action::Subscribe).count();
     assert_eq!(asked(&net), 1);
     for _ in 0..20 {
