--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -7,16 +7,16 @@
         let now = self.clock.now();
         self.clients.on_message(now, client);
         let Some(id) = message.call_id().map(|id| CallId(id.into())) else {
-            return self.reject(client, 400, &message.echoed(), "no Call-ID");
+            return self.reject(client, 400, &message.echoed_headers(), "no Call-ID");
         };
-        let Start::Request { method, user } = &message.start else {
+        let StartLine::Request { method, user } = &message.start_line else {
             let of = message.header("CSeq").unwrap_or_default();
-            if of.ends_with("BYE") && message.start != Start::Response(100) {
+            if of.ends_with("BYE") && message.start_line != StartLine::Response(100) {
                 self.releases.remove(&id);
             }
             return;
         };
-        let echoed = message.echoed();
+        let echoed = message.echoed_headers();
         match method.as_str() {
             "INVITE" => self.invite(now, client, id, user.as_str().into(), &message, echoed),
             "ACK" => {}
@@ -31,7 +31,7 @@
                 let status = if known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
                 self.releases.remove(&id);
-                let cause = sip::cause_of(message.header("Reason"));
+                let cause = sip::release_cause(message.header("Reason"));
                 self.core.hang_up(now, &id, cause);
             }
             "OPTIONS" => {
@@ -111,7 +111,7 @@
         let class = message.header("X-Call-Class");
         let class = class.and_then(|name| self.class_names.iter().position(|n| n == name))?;
         let limit = Duration::from_millis(message.header("X-Ring-Limit")?.parse().ok()?);
-        let figures = sip::figures(message.header("X-Dest").unwrap_or_default())?;
+        let figures = sip::parse_parameters(message.header("X-Dest").unwrap_or_default())?;
         let figure = |name| figures.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
         let whole = |name, least: f64, most: f64| match figure(name) {
             None => Some(None),
@@ -255,10 +255,10 @@
     }
 
     /// The bytes on a connection can't be read as messages; no further one can be found.
-    pub(in crate::net) fn on_malformed_message(&mut self, client: u64, error: &sip::Malformed) {
+    pub(in crate::net) fn on_malformed_message(&mut self, client: u64, error: &sip::MalformedMessage) {
         debug!(self.log, "message malformed"; "connection_id" => client, "status" => error.status,
-            "reason" => error.why);
-        self.metrics.count_protocol_error(error.why);
+            "reason" => error.reason);
+        self.metrics.count_protocol_error(error.reason);
         self.send_to_client(client, &sip::response(error.status, "", None, b""));
         self.clients.request_close(client, CloseReason::MalformedMessage);
     }
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl Platform {
-    pub(in crate::net) fn exchange_line(&mut self, exchange: &ExchangeId, conn: ConnId, line: &jsonl::Line) {
+    pub(in crate::net) fn exchange_line(
+        &mut self,
+        exchange: &ExchangeId,
+        conn: ConnId,
+        line: &jsonl::Message,
+    ) {
         if self.is_stopped {
             return; // no client is left to be told; the exchange tells the next process
         }
@@ -33,10 +38,10 @@
                 self.metrics.count_outcome(outcome_name(status));
                 self.core.reply(now, exchange, &id, Reply::Ended { status, cause, report });
                 if stood {
-                    self.answer(exchange, conn, &jsonl::plain("FINISHED", &id.0, None));
+                    self.answer(exchange, conn, &jsonl::reply("FINISHED", &id.0, None));
                 }
             }
-            "ECHO" => self.answer(exchange, conn, &jsonl::plain("ECHOED", &id.0, Some(1))),
+            "ECHO" => self.answer(exchange, conn, &jsonl::reply("ECHOED", &id.0, Some(1))),
             _ => {}
         }
         self.flush();
@@ -57,7 +62,7 @@
     }
 
     pub(super) fn report(&self, load: &str) -> Vec<f64> {
-        self.gauge_names.iter().map(|name| sip::figure(load, name).unwrap_or(-1.0)).collect()
+        self.gauge_names.iter().map(|name| sip::parameter(load, name).unwrap_or(-1.0)).collect()
     }
 
     pub(super) fn connect(&mut self, exchange: &ExchangeId) {
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -29,7 +29,7 @@
 use crate::net::enumeration::{self, Resolved};
 use crate::net::exchange_pool::{ConnId, ExchangePool, Failure};
 use crate::net::{client_connections::ClientConnections, sockets};
-use crate::protocol::sip::{Message, Start};
+use crate::protocol::sip::{Message, StartLine};
 use crate::protocol::{coordinator, jsonl, sip};
 use crate::Controller;
 
@@ -314,24 +314,24 @@
     }
 
     pub(in crate::net) fn coordinator_frame(&mut self, frame: coordinator::Frame) {
-        let Some(list) = frame.list.filter(|_| frame.number > self.last_event) else { return };
-        self.last_event = frame.number;
+        let Some(list) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
+        self.last_event = frame.event_number;
         let lines = list.records.into_iter().map(|r| Listed {
             entry: DirectoryEntry {
                 exchange: ExchangeId(r.id.into()),
-                node: NodeNumber(u32::from(r.cell)),
+                node: NodeNumber(u32::from(r.place)),
                 zone: u32::from(r.zone),
                 health: match r.state {
                     0 => Health::Live,
                     1 => Health::Draining,
                     _ => Health::Gone,
                 },
-                up_since: Some(r.started).filter(|ms| *ms > 0).map(Duration::from_millis),
+                up_since: Some(r.started_ms).filter(|ms| *ms > 0).map(Duration::from_millis),
             },
             address: r.address,
         });
-        let update = Update { whole: list.whole, lines: lines.collect() };
-        self.update(if list.whole { UpdateKind::Full } else { UpdateKind::Changes }, &update);
+        let update = Update { whole: list.is_full_list, lines: lines.collect() };
+        self.update(if list.is_full_list { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
 
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -37,10 +37,10 @@
             let ended = connection::run_connection(stream, &writes, |bytes| {
                 decoder.feed(bytes);
                 loop {
-                    match decoder.take() {
+                    match decoder.next_message() {
                         Ok(Some(line)) => me.borrow_mut().exchange_line(&exchange, id, &line),
                         Ok(None) => {
-                            me.borrow_mut().exchange_reading(&exchange, id, decoder.is_amid());
+                            me.borrow_mut().exchange_reading(&exchange, id, decoder.has_partial_line());
                             return ControlFlow::Continue(());
                         }
                         Err(why) => {
@@ -108,10 +108,10 @@
     let ended = connection::run_connection(stream, &writes, |bytes| {
         decoder.feed(bytes);
         loop {
-            match decoder.take() {
+            match decoder.next_message() {
                 Ok(Some(message)) => platform.borrow_mut().on_client_message(client, message),
                 Ok(None) => {
-                    platform.borrow_mut().on_client_read(client, decoder.is_amid());
+                    platform.borrow_mut().on_client_read(client, decoder.has_partial_message());
                     return ControlFlow::Continue(());
                 }
                 Err(e) => {
@@ -150,7 +150,7 @@
                 heard.set(Instant::now());
                 decoder.feed(bytes);
                 loop {
-                    match decoder.take() {
+                    match decoder.next_frame() {
                         Ok(Some(frame)) => platform.borrow_mut().coordinator_frame(frame),
                         Ok(None) => return ControlFlow::Continue(()),
                         Err(why) => {
--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Largest frame taken.
-pub const LARGEST: usize = 16 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024;
 const RECORD: usize = 27;
 
 /// One record of a frame.
@@ -18,25 +18,25 @@
     /// Place in the settings' list of zones.
     pub zone: u8,
     /// Number of the exchange.
-    pub cell: u16,
+    pub place: u16,
     /// Unix milliseconds of a late start, or 0.
-    pub started: u64,
+    pub started_ms: u64,
 }
 
 /// A frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
     /// The event's number.
-    pub number: u64,
+    pub event_number: u64,
     /// What it says; `None`: nothing new.
-    pub list: Option<List>,
+    pub update: Option<ListUpdate>,
 }
 
 /// News of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct List {
+pub struct ListUpdate {
     /// The whole list, not changes only.
-    pub whole: bool,
+    pub is_full_list: bool,
     /// Its records.
     pub records: Vec<Record>,
 }
@@ -66,12 +66,12 @@
     ///
     /// # Errors
     /// When the bytes are no frame; the connection is then of no more use.
-    pub fn take(&mut self) -> Result<Option<Frame>, &'static str> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, &'static str> {
         if self.bytes.len() < 4 {
             return Ok(None);
         }
         let length = number(&self.bytes[..4]) as usize;
-        if !(9..=LARGEST).contains(&length) {
+        if !(9..=MAX_FRAME_BYTES).contains(&length) {
             return Err("frame of a wrong length");
         }
         if self.bytes.len() < 4 + length {
@@ -79,15 +79,16 @@
         }
         let frame: Vec<u8> = self.bytes.drain(..4 + length).skip(4).collect();
         let payload = &frame[9..];
-        let list = match frame[8] {
+        let update = match frame[8] {
             0 => None,
-            kind @ (1 | 2) if payload.len() % RECORD == 0 => {
-                Some(List { whole: kind == 1, records: payload.chunks_exact(RECORD).map(record).collect() })
-            }
+            kind @ (1 | 2) if payload.len() % RECORD == 0 => Some(ListUpdate {
+                is_full_list: kind == 1,
+                records: payload.chunks_exact(RECORD).map(record).collect(),
+            }),
             1 | 2 => return Err("frame with a part of a record"),
             _ => return Err("frame of an unknown kind"),
         };
-        Ok(Some(Frame { number: number(&frame[..8]), list }))
+        Ok(Some(Frame { event_number: number(&frame[..8]), update }))
     }
 }
 
@@ -98,7 +99,7 @@
         address: SocketAddr::from((address, number(&bytes[8..10]) as u16)),
         state: bytes[10],
         zone: bytes[11],
-        cell: number(&bytes[13..15]) as u16,
-        started: number(&bytes[19..27]),
+        place: number(&bytes[13..15]) as u16,
+        started_ms: number(&bytes[19..27]),
     }
 }
--- a/src/protocol/jsonl.rs
+++ b/src/protocol/jsonl.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 
 /// Largest line taken.
-pub const LARGEST: usize = 16 * 1024;
+pub const MAX_LINE_BYTES: usize = 16 * 1024;
 /// Deepest nesting taken: guards the stack against a line of brackets.
 const DEEPEST: usize = 8;
 
@@ -35,7 +35,7 @@
 
 /// What a booking exchange says.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Line {
+pub struct Message {
     /// `START`, `STARTED`, `FINISH` and so on.
     pub verb: String,
     /// The call, or empty.
@@ -64,7 +64,7 @@
     }
 
     /// Whether it holds a part of a line.
-    pub fn is_amid(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         !self.bytes.is_empty()
     }
 
@@ -72,16 +72,16 @@
     ///
     /// # Errors
     /// When a line is too long or is no message; the connection is then of no more use.
-    pub fn take(&mut self) -> Result<Option<Line>, &'static str> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, &'static str> {
         loop {
             let end = self.bytes[self.searched..].iter().position(|b| *b == b'\n');
             let Some(end) = end.map(|e| e + self.searched) else {
                 self.searched = self.bytes.len();
-                return if self.bytes.len() > LARGEST { Err("line too long") } else { Ok(None) };
+                return if self.bytes.len() > MAX_LINE_BYTES { Err("line too long") } else { Ok(None) };
             };
             let line: Vec<u8> = self.bytes.drain(..=end).collect();
             self.searched = 0;
-            if line.len() > LARGEST {
+            if line.len() > MAX_LINE_BYTES {
                 return Err("line too long");
             }
             if line.iter().all(u8::is_ascii_whitespace) {
@@ -92,7 +92,7 @@
     }
 }
 
-fn parse(line: &[u8]) -> Result<Line, &'static str> {
+fn parse(line: &[u8]) -> Result<Message, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "line is not UTF-8")?;
     let mut parser = Parser { text, at: 0 };
     let object = parser.value(0).ok_or("line is no JSON")?;
@@ -103,7 +103,7 @@
     let string = |value: Option<&Value>| value.and_then(Value::text);
     let opts = object.get("opts");
     let verb = string(object.get("verb")).ok_or("no verb")?;
-    let line = Line {
+    let message = Message {
         verb,
         tag: string(object.get("tag")).unwrap_or_default(),
         cause: match object.get("rc") {
@@ -116,11 +116,11 @@
         load: string(opts.and_then(|o| o.get("load"))),
     };
     // Guards against an answer passed on that no exchange made: what lacks a part was spoilt on its way.
-    match line.verb.as_str() {
-        "STARTED" | "FINISH" if line.tag.is_empty() => Err("no call named"),
-        "STARTED" if line.blob.is_none() => Err("answer without its description"),
-        "FINISH" if line.cause.is_none() => Err("end without its cause"),
-        "STARTED" | "FINISH" | "FINISHED" | "PENDING" | "LOAD" | "ECHO" | "ECHOED" | "START" => Ok(line),
+    match message.verb.as_str() {
+        "STARTED" | "FINISH" if message.tag.is_empty() => Err("no call named"),
+        "STARTED" if message.blob.is_none() => Err("answer without its description"),
+        "FINISH" if message.cause.is_none() => Err("end without its cause"),
+        "STARTED" | "FINISH" | "FINISHED" | "PENDING" | "LOAD" | "ECHO" | "ECHOED" | "START" => Ok(message),
         _ => Err("unknown verb"),
     }
 }
@@ -282,7 +282,7 @@
 }
 
 /// A message with no more than a verb, a call and perhaps a cause: `FINISHED`, `ECHOED`.
-pub fn plain(verb: &str, tag: &str, cause: Option<u32>) -> Vec<u8> {
+pub fn reply(verb: &str, tag: &str, cause: Option<u32>) -> Vec<u8> {
     let mut line = format!("{{\"verb\":\"{verb}\",\"tag\":");
     quote(tag, &mut line);
     line.push_str(",\"opts\":{}");
--- a/src/protocol/sip.rs
+++ b/src/protocol/sip.rs
@@ -3,11 +3,11 @@
 use std::fmt::Write as _;
 
 /// Largest message taken, head and body together.
-pub const LARGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// The first line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Start {
+pub enum StartLine {
     /// A request: method and the user part of its address.
     Request {
         /// Method, as `INVITE`.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
-    pub start: Start,
+    pub start_line: StartLine,
     headers: Vec<(String, String)>,
     /// The body, untouched.
     pub body: Vec<u8>,
@@ -41,7 +41,7 @@
     }
 
     /// The headers that an answer repeats, each on a line of its own.
-    pub fn echoed(&self) -> String {
+    pub fn echoed_headers(&self) -> String {
         let kept = ["via", "from", "to", "call-id", "cseq"];
         let mut lines = String::new();
         for (name, value) in &self.headers {
@@ -55,11 +55,11 @@
 
 /// Why bytes are no message, and whether the next message can still be found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Malformed {
+pub struct MalformedMessage {
     /// Answer for the peer.
     pub status: u16,
     /// What is wrong.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// Cuts a stream of bytes into messages.
@@ -77,7 +77,7 @@
     }
 
     /// Whether it holds a part of a message.
-    pub fn is_amid(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.bytes.is_empty()
     }
 
@@ -85,21 +85,22 @@
     ///
     /// # Errors
     /// When the stream holds no SIP: the connection is then of no more use.
-    pub fn take(&mut self) -> Result<Option<Message>, Malformed> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, MalformedMessage> {
         // Line breaks between messages are keep-alives (RFC 5626, 4.4.1).
         let blank = self.bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         self.bytes.drain(..blank);
         self.searched = self.searched.saturating_sub(blank);
-        let too_large = Malformed { status: 513, why: "message too large" };
+        let too_large = MalformedMessage { status: 513, reason: "message too large" };
         let found = self.bytes[self.searched..].windows(4).position(|w| w == b"\r\n\r\n");
         let Some(head) = found.map(|at| at + self.searched) else {
             self.searched = self.bytes.len().saturating_sub(3);
-            return if self.bytes.len() > LARGEST { Err(too_large) } else { Ok(None) };
+            return if self.bytes.len() > MAX_MESSAGE_BYTES { Err(too_large) } else { Ok(None) };
         };
-        let bad = |why| Malformed { status: 400, why };
+        let bad = |reason| MalformedMessage { status: 400, reason };
         let text = std::str::from_utf8(&self.bytes[..head]).map_err(|_| bad("head is not UTF-8"))?;
         let mut lines = text.split("\r\n");
-        let start = start_line(lines.next().unwrap_or_default()).ok_or(bad("no SIP first line"))?;
+        let start_line =
+            parse_start_line(lines.next().unwrap_or_default()).ok_or(bad("no SIP first line"))?;
         let mut headers: Vec<(String, String)> = Vec::new();
         for line in lines {
             if let (true, Some(last)) = (line.starts_with([' ', '\t']), headers.last_mut()) {
@@ -110,10 +111,10 @@
             let (name, value) = line.split_once(':').ok_or(bad("header without a colon"))?;
             headers.push((name.trim().to_owned(), value.trim().to_owned()));
         }
-        let mut message = Message { start, headers, body: Vec::new() };
+        let mut message = Message { start_line, headers, body: Vec::new() };
         let length = message.header("Content-Length").ok_or(bad("no Content-Length"))?;
         let length: usize = length.parse().map_err(|_| bad("Content-Length is no number"))?;
-        if length > LARGEST || head + 4 + length > LARGEST {
+        if length > MAX_MESSAGE_BYTES || head + 4 + length > MAX_MESSAGE_BYTES {
             return Err(too_large);
         }
         if self.bytes.len() < head + 4 + length {
@@ -127,9 +128,9 @@
     }
 }
 
-fn start_line(line: &str) -> Option<Start> {
+fn parse_start_line(line: &str) -> Option<StartLine> {
     if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
-        return rest.split(' ').next()?.parse().ok().map(Start::Response);
+        return rest.split(' ').next()?.parse().ok().map(StartLine::Response);
     }
     let mut words = line.split(' ');
     let (method, address) = (words.next()?, words.next()?);
@@ -138,7 +139,7 @@
     }
     let address = address.strip_prefix("sip:").or_else(|| address.strip_prefix("tel:"))?;
     let user = address.split('@').next().unwrap_or_default().to_owned();
-    Some(Start::Request { method: method.to_owned(), user })
+    Some(StartLine::Request { method: method.to_owned(), user })
 }
 
 /// What a status is called.
@@ -184,20 +185,20 @@
 }
 
 /// The Q.850 cause of a release; 16, normal clearing, if none is given.
-pub fn cause_of(reason: Option<&str>) -> u32 {
+pub fn release_cause(reason: Option<&str>) -> u32 {
     let cause = reason.and_then(|r| r.split(';').find_map(|p| p.trim().strip_prefix("cause=")));
     cause.and_then(|c| c.trim().parse().ok()).unwrap_or(16)
 }
 
 /// The figures of a list such as `dest:2;width:1;via:-1`; `None` if it is no such list, or one is no number.
-pub fn figures(list: &str) -> Option<Vec<(&str, f64)>> {
+pub fn parse_parameters(list: &str) -> Option<Vec<(&str, f64)>> {
     let pairs = list.split(';').map(str::trim).filter(|pair| !pair.is_empty());
     let figure = |pair: &'_ str| -> Option<f64> { pair.trim().parse().ok().filter(|n: &f64| n.is_finite()) };
     pairs.map(|pair| pair.split_once(':').and_then(|(n, v)| Some((n.trim(), figure(v)?)))).collect()
 }
 
 /// One figure of a list such as `dest:2;width:1;via:-1`.
-pub fn figure(list: &str, name: &str) -> Option<f64> {
+pub fn parameter(list: &str, name: &str) -> Option<f64> {
     let mut pairs = list.split(';').filter_map(|pair| pair.split_once(':'));
     pairs.find(|(n, _)| n.trim() == name).and_then(|(_, v)| v.trim().parse().ok())
 }
--- a/tests/protocols.rs
+++ b/tests/protocols.rs
@@ -31,18 +31,21 @@
     let mut decoder = sip::Decoder::default();
     let messages = pieces(INVITE, size, |p| {
         decoder.feed(p);
-        all(|| decoder.take())
+        all(|| decoder.next_message())
     });
     assert_eq!(messages.len(), 2);
-    assert_eq!(messages[0].start, sip::Start::Request { method: "INVITE".into(), user: "7f3a".into() });
+    assert_eq!(
+        messages[0].start_line,
+        sip::StartLine::Request { method: "INVITE".into(), user: "7f3a".into() }
+    );
     assert_eq!((messages[0].call_id(), messages[0].header("VIA")), (Some("9b"), Some("a b")));
     assert_eq!(messages[0].body, b"\r\n\xc3\xa9");
-    assert_eq!(messages[1].start, sip::Start::Response(200));
+    assert_eq!(messages[1].start_line, sip::StartLine::Response(200));
 
     let mut decoder = jsonl::Decoder::default();
     let lines = pieces(LINES, size, |p| {
         decoder.feed(p);
-        all(|| decoder.take())
+        all(|| decoder.next_message())
     });
     assert_eq!((lines[0].cause, lines[0].note.as_deref(), lines.len()), (Some(34), Some("group_full"), 2));
     assert_eq!((lines[1].blob.as_deref(), lines[1].tag.as_str()), (Some("é😀\r\n/"), "7"));
@@ -50,14 +53,14 @@
     let mut decoder = coordinator::Decoder::default();
     let frames = pieces(&frames(), size, |p| {
         decoder.feed(p);
-        all(|| decoder.take())
+        all(|| decoder.next_frame())
     });
-    assert_eq!((frames[0].number, &frames[0].list), (4, &None));
-    let list = frames[1].list.as_ref().unwrap();
-    assert_eq!((frames[1].number, list.whole, list.records.len()), (261, true, 1));
+    assert_eq!((frames[0].event_number, &frames[0].update), (4, &None));
+    let list = frames[1].update.as_ref().unwrap();
+    assert_eq!((frames[1].event_number, list.is_full_list, list.records.len()), (261, true, 1));
     let record = &list.records[0];
     assert_eq!((record.id.as_str(), record.address.to_string().as_str()), ("s-00c41f7a", "10.1.0.9:3868"));
-    assert_eq!((record.state, record.zone, record.cell, record.started), (1, 2, 3, 0x0190_0000_0001));
+    assert_eq!((record.state, record.zone, record.place, record.started_ms), (1, 2, 3, 0x0190_0000_0001));
 }
 
 #[test]
@@ -66,7 +69,7 @@
     let line = jsonl::start("t\"ag", "voice", "+386", 1500, &blob);
     let mut decoder = jsonl::Decoder::default();
     decoder.feed(&line);
-    let read = decoder.take().unwrap().unwrap();
+    let read = decoder.next_message().unwrap().unwrap();
     assert_eq!((read.blob, read.tag.as_str()), (Some(blob), "t\"ag"));
 }
 
@@ -74,13 +77,13 @@
 fn what_never_ends_is_cut_off() {
     let mut sip = sip::Decoder::default();
     sip.feed(&[b'a'; 20_000]);
-    assert_eq!(sip.take().unwrap_err().status, 513);
+    assert_eq!(sip.next_message().unwrap_err().status, 513);
     let mut lines = jsonl::Decoder::default();
     lines.feed(&[b'a'; 20_000]);
-    assert!(lines.take().is_err());
+    assert!(lines.next_message().is_err());
     let mut frames = coordinator::Decoder::default();
     frames.feed(&[255; 9]);
-    assert!(frames.take().is_err());
+    assert!(frames.next_frame().is_err());
 }
 
 /// Whatever comes, a decoder ends with a message, a wish for more or an error, and never in a panic.
@@ -112,9 +115,9 @@
             let mut frames = coordinator::Decoder::default();
             frames.feed(&bytes);
             let ends = [
-                std::iter::from_fn(|| sip.take().transpose()).take(9).any(|r| r.is_err()),
-                std::iter::from_fn(|| lines.take().transpose()).take(9).any(|r| r.is_err()),
-                std::iter::from_fn(|| frames.take().transpose()).take(9).any(|r| r.is_err()),
+                std::iter::from_fn(|| sip.next_message().transpose()).take(9).any(|r| r.is_err()),
+                std::iter::from_fn(|| lines.next_message().transpose()).take(9).any(|r| r.is_err()),
+                std::iter::from_fn(|| frames.next_frame().transpose()).take(9).any(|r| r.is_err()),
                 dns::read(&bytes).is_none(),
                 Advertisement::decode(&bytes).is_err(),
             ];
