--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -124,7 +124,7 @@
 
 /// One line of the list with the address that belongs to it.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct ListedExchange {
     /// What the decision module is told.
     pub entry: DirectoryEntry,
     /// Where the exchange listens.
@@ -133,16 +133,16 @@
 
 /// An event of the list.
 #[derive(Debug, Clone)]
-pub struct Update {
+pub struct ListUpdate {
     /// The whole list, not changes only.
-    pub whole: bool,
+    pub is_full_list: bool,
     /// Its lines.
-    pub lines: Vec<Listed>,
+    pub exchanges: Vec<ListedExchange>,
 }
 
 /// The ENUM front, where an operator's file sets it up.
 #[derive(Debug, Clone)]
-pub struct Enum {
+pub struct EnumConfig {
     /// Where queries arrive; `None`: numbers are looked up for calls only.
     pub listen: Option<SocketAddr>,
     /// The zone that numbers stand under.
@@ -154,11 +154,11 @@
     /// A resolver gets its answer within this.
     pub answer_within: Duration,
     /// Share of a call's time that its look-up may take.
-    pub share: f64,
+    pub look_up_share: f64,
     /// Look-ups in hand at most; the last quarter is kept for calls.
-    pub most: usize,
+    pub max_look_ups: usize,
     /// Queries out to one upstream at most.
-    pub window: usize,
+    pub window_per_upstream: usize,
     /// Hosts of SIP addresses, and the places that they stand for.
     pub routes: HashMap<String, NodeNumber>,
     /// What the front's decision module is told.
@@ -167,13 +167,13 @@
 
 /// The virtual router, where an operator's file sets it up.
 #[derive(Debug, Clone)]
-pub struct Vrrp {
+pub struct VrrpConfig {
     /// Where advertisements arrive.
     pub listen: SocketAddr,
     /// Where the other routers take them.
     pub peers: Vec<SocketAddr>,
     /// The virtual router.
-    pub setup: vrrp::Setup,
+    pub router: vrrp::Config,
 }
 
 /// Everything the program is told.
@@ -186,7 +186,7 @@
     /// For random numbers.
     pub seed: u64,
     /// File descriptors it may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Where datagrams of other routers arrive.
     pub peer_listen: Option<SocketAddr>,
     /// Addresses of the routers, by their numbers.
@@ -196,9 +196,9 @@
     /// Where the coordinator listens.
     pub coordinator: Option<SocketAddr>,
     /// Number of the last event in `known`.
-    pub known_index: u64,
+    pub last_known_event: u64,
     /// The events of the start.
-    pub known: Vec<Update>,
+    pub known_updates: Vec<ListUpdate>,
     /// What the decision module is told.
     pub settings: Settings,
     /// Names of the classes, by their number.
@@ -208,11 +208,11 @@
     /// A connection must be up within this.
     pub connect_timeout: Duration,
     /// The ENUM front; off unless set up.
-    pub enumeration: Option<Enum>,
+    pub enum_front: Option<EnumConfig>,
     /// The virtual router; off unless set up.
-    pub vrrp: Option<Vrrp>,
+    pub vrrp: Option<VrrpConfig>,
     /// Commands are taken from the terminal.
-    pub console: bool,
+    pub has_console: bool,
 }
 
 impl Config {
@@ -249,36 +249,41 @@
             name: root.get("name").text_if()?.unwrap_or("router").to_owned(),
             listen: root.get("listen").address()?,
             seed,
-            sockets: root.get("limits").get("sockets").whole(1024)? as usize,
+            max_sockets: root.get("limits").get("sockets").whole(1024)? as usize,
             peer_listen: root.get("peer_listen").address_if()?,
             peers: root.get("peers").items()?.iter().map(Node::address).collect::<Read<_>>()?,
             peers_all: root.get("peers_all").address_if()?,
             coordinator: root.get("coordinator").address_if()?,
-            known_index: known.get("index").whole(0)?,
-            known: known.get("updates").items()?.iter().map(|u| update(u, &zones)).collect::<Read<_>>()?,
+            last_known_event: known.get("index").whole(0)?,
+            known_updates: known
+                .get("updates")
+                .items()?
+                .iter()
+                .map(|u| update(u, &zones))
+                .collect::<Read<_>>()?,
             class_names: names(settings.get("Classes"), "Name")?,
             gauge_names: plain(settings.get("Stats").get("Names"))?,
             connect_timeout: if limit.is_zero() { Duration::from_millis(500) } else { limit },
             settings: read_settings(&settings)?,
-            enumeration: enumeration(&root.get("enum"))?,
+            enum_front: read_enum(&root.get("enum"))?,
             vrrp: virtual_router(&root.get("vrrp"))?,
-            console: root.get("console").flag(false)?,
+            has_console: root.get("console").flag(false)?,
         })
     }
 }
 
 impl Config {
     /// Keys that differ in `new` and that a running program can't take up.
-    pub fn needs_restart(&self, new: &Self) -> Vec<&'static str> {
-        let front = |c: &Self| c.enumeration.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
-        let group = |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.setup.vrid, v.setup.addresses.clone()));
+    pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
+        let front = |c: &Self| c.enum_front.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
+        let group = |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.router.vrid, v.router.addresses.clone()));
         let names = |c: &Self| (c.class_names.clone(), c.gauge_names.clone(), format!("{:?}", c.settings));
         let changed = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("peer_listen", self.peer_listen != new.peer_listen),
             ("settings", names(self) != names(new)),
-            ("console", self.console != new.console),
+            ("console", self.has_console != new.has_console),
             ("enum.listen/query_timeout_ms/guard_ms/attempts", front(self) != front(new)),
             ("vrrp.listen/vrid/addresses", group(self) != group(new)),
         ];
@@ -310,7 +315,7 @@
     Ok(list)
 }
 
-fn enumeration(root: &Node<'_>) -> Read<Option<Enum>> {
+fn read_enum(root: &Node<'_>) -> Read<Option<EnumConfig>> {
     if root.value.is_none() {
         return Ok(None);
     }
@@ -339,14 +344,14 @@
     let guard = millis(&root.get("guard_ms"), 500)?;
     let query_timeout = millis(&root.get("query_timeout_ms"), 1500)?;
     let attempts = bounded(&root.get("attempts"), 4, 1, 16)?;
-    Ok(Some(Enum {
+    Ok(Some(EnumConfig {
         listen: root.get("listen").address_if()?,
         zone: name,
         query_timeout,
         answer_within,
-        share: part,
-        most: bounded(&root.get("most_look_ups"), 512, 8, 65_536)? as usize,
-        window: window as usize,
+        look_up_share: part,
+        max_look_ups: bounded(&root.get("most_look_ups"), 512, 8, 65_536)? as usize,
+        window_per_upstream: window as usize,
         routes: hosts,
         settings: pools(query_timeout, guard, attempts as u32),
         upstreams,
@@ -393,7 +398,7 @@
     }
 }
 
-fn virtual_router(root: &Node<'_>) -> Read<Option<Vrrp>> {
+fn virtual_router(root: &Node<'_>) -> Read<Option<VrrpConfig>> {
     if root.value.is_none() {
         return Ok(None);
     }
@@ -406,10 +411,10 @@
     if !(1..=255).contains(&addresses_backed.len()) {
         return list.wrong("must name 1 to 255 addresses");
     }
-    Ok(Some(Vrrp {
+    Ok(Some(VrrpConfig {
         listen: root.get("listen").address()?,
         peers: addresses(&root.get("peers"))?,
-        setup: vrrp::Setup {
+        router: vrrp::Config {
             vrid: bounded(&root.get("vrid"), 1, 1, 255)? as u8,
             priority: bounded(&root.get("priority"), 100, 1, 255)? as u8,
             interval: bounded(&root.get("interval_cs"), 100, 1, 4095)? as u16,
@@ -419,13 +424,13 @@
     }))
 }
 
-fn update(event: &Node<'_>, zones: &[String]) -> Read<Update> {
+fn update(event: &Node<'_>, zones: &[String]) -> Read<ListUpdate> {
     let list = event.get("endpoints");
-    let lines = list.get("hosts").items()?.iter().map(|l| listed(l, zones)).collect::<Read<_>>()?;
-    Ok(Update { whole: list.get("whole").flag(false)?, lines })
+    let exchanges = list.get("hosts").items()?.iter().map(|l| listed(l, zones)).collect::<Read<_>>()?;
+    Ok(ListUpdate { is_full_list: list.get("whole").flag(false)?, exchanges })
 }
 
-fn listed(line: &Node<'_>, zones: &[String]) -> Read<Listed> {
+fn listed(line: &Node<'_>, zones: &[String]) -> Read<ListedExchange> {
     let zone = line.get("site").text_if()?;
     let state = line.get("health");
     let health = match state.text()? {
@@ -441,7 +446,7 @@
         health,
         up_since: Some(line.get("born_ms").whole(0)?).filter(|ms| *ms > 0).map(Duration::from_millis),
     };
-    Ok(Listed { entry, address: line.get("dial").address()? })
+    Ok(ListedExchange { entry, address: line.get("dial").address()? })
 }
 
 /// The decision module's settings, as the simulator's first message names them.
--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -58,7 +58,7 @@
     }
     let active = Rc::new(Cell::new(true));
     let mut front = None;
-    if let Some(setup) = &config.enumeration {
+    if let Some(setup) = &config.enum_front {
         let made = Front::new(setup, config.seed, log.clone(), clock, active.clone())?;
         tokio::task::spawn_local(enumeration::keep_time(made.clone()));
         if let Some(at) = setup.listen {
@@ -66,14 +66,14 @@
             info!(log, "answering look-ups"; "listen" => %socket.local_addr()?);
             tokio::task::spawn_local(enumeration::answer(made.clone(), socket));
         }
-        platform.borrow_mut().set_look_up(made.clone(), setup.share);
+        platform.borrow_mut().set_look_up(made.clone(), setup.look_up_share);
         front = Some(made);
     }
     let mut standby = None;
     if let Some(setup) = config.vrrp.clone() {
         let socket = bind("vrrp.listen", setup.listen).await?;
         info!(log, "virtual router"; "listen" => %socket.local_addr()?);
-        let router = Router::new(setup.setup, socket.local_addr()?);
+        let router = Router::new(setup.router, socket.local_addr()?);
         let made = Standby::new(router, socket, setup.peers, active, clock, log.clone());
         tokio::task::spawn_local(standby::run(made.clone()));
         standby = Some(made);
@@ -82,7 +82,7 @@
     let accepting = Accepting::start(platform.clone(), listener);
     let view = View { name: config.name.clone(), platform, front, standby };
     let (platform, front, standby) = (view.platform.clone(), view.front.clone(), view.standby.clone());
-    let console = config.console;
+    let console = config.has_console;
     let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     tokio::task::spawn_local(reloads(hang_up, path, config, view.clone(), log.clone()));
     let quit = async {
@@ -145,14 +145,14 @@
                 continue;
             }
         };
-        let later = held.needs_restart(&fresh);
+        let later = held.changes_needing_restart(&fresh);
         if !later.is_empty() {
             warn!(log, "changed, but taken up at the next start only"; "keys" => later.join(" "));
         }
         parts.platform.borrow_mut().reload(&fresh);
-        if let (Some(front), Some(setup)) = (&parts.front, &fresh.enumeration) {
+        if let (Some(front), Some(setup)) = (&parts.front, &fresh.enum_front) {
             front.borrow_mut().reload(setup);
-            parts.platform.borrow_mut().set_look_up(front.clone(), setup.share);
+            parts.platform.borrow_mut().set_look_up(front.clone(), setup.look_up_share);
         }
         if let (Some(standby), Some(setup)) = (&parts.standby, &fresh.vrrp) {
             standby.reload(setup);
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -23,7 +23,7 @@
 use crate::call::core::{Core, Effect, Reply, Request};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
-use crate::lifecycle::config::Enum;
+use crate::lifecycle::config::EnumConfig;
 use crate::protocol::dns::{self, Lead, Message, Name, Naptr};
 use crate::Controller;
 
@@ -83,7 +83,7 @@
     pub core: Core,
     clock: Clock,
     log: Logger,
-    setup: Enum,
+    config: EnumConfig,
     /// Only the active of several routers answers.
     active: Rc<Cell<bool>>,
     socket: Option<Rc<UdpSocket>>,
@@ -106,21 +106,21 @@
     /// # Errors
     /// When the decision module takes the settings for senseless.
     pub fn new(
-        setup: &Enum,
+        config: &EnumConfig,
         seed: u64,
         log: Logger,
         clock: Clock,
         active: Rc<Cell<bool>>,
     ) -> Result<Handle, SettingsError> {
         let now = clock.now();
-        let core = Core::new(Controller::new(setup.settings.clone(), seed, now)?, Exchanges::default(), now);
+        let core = Core::new(Controller::new(config.settings.clone(), seed, now)?, Exchanges::default(), now);
         Ok(Rc::new_cyclic(|me| {
             let mut front = Self {
                 me: me.clone(),
                 core,
                 clock,
                 log,
-                setup: setup.clone(),
+                config: config.clone(),
                 active,
                 socket: None,
                 askers: HashMap::new(),
@@ -140,7 +140,7 @@
     /// listed run on to their end.
     fn list_upstreams(&mut self) {
         let id = |address: &SocketAddr| ExchangeId(address.to_string().into());
-        let entries = self.setup.upstreams.iter().zip(0..).map(|(address, place)| DirectoryEntry {
+        let entries = self.config.upstreams.iter().zip(0..).map(|(address, place)| DirectoryEntry {
             exchange: id(address),
             node: NodeNumber(place),
             zone: 0,
@@ -148,20 +148,20 @@
             up_since: None,
         });
         self.core.directory(self.clock.now(), UpdateKind::Full, entries.collect());
-        for address in &self.setup.upstreams {
+        for address in &self.config.upstreams {
             let upstream = Upstream { address: *address, out: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
         }
-        let listed = &self.setup.upstreams;
+        let listed = &self.config.upstreams;
         self.upstreams.retain(|_, u| listed.contains(&u.address) || !u.out.is_empty());
         self.tell_room();
     }
 
     /// Takes up a new set-up while look-ups go on. What the module was told at the start stays, and so does
     /// the socket.
-    pub fn reload(&mut self, setup: &Enum) {
-        let Enum { listen, query_timeout, settings, .. } = self.setup.clone();
-        self.setup = Enum { listen, query_timeout, settings, ..setup.clone() };
+    pub fn reload(&mut self, config: &EnumConfig) {
+        let EnumConfig { listen, query_timeout, settings, .. } = self.config.clone();
+        self.config = EnumConfig { listen, query_timeout, settings, ..config.clone() };
         self.list_upstreams();
         self.flush();
     }
@@ -185,7 +185,7 @@
 
     /// Tells the core how many more queries each upstream may get: its free 'agents'.
     fn tell_room(&mut self) {
-        let (now, size) = (self.clock.now(), self.setup.window as f64);
+        let (now, size) = (self.clock.now(), self.config.window_per_upstream as f64);
         let free: Vec<(ExchangeId, f64)> =
             self.upstreams.iter().map(|(id, u)| (id.clone(), size - u.out.len() as f64)).collect();
         for (id, free) in free {
@@ -226,7 +226,7 @@
             return; // guards against two servers that answer each other for ever
         }
         let Some(query) = dns::read(bytes) else { return self.send_to_client(from, &dns::formerr(id)) };
-        let name = match dns::served(&query, &self.setup.zone) {
+        let name = match dns::served(&query, &self.config.zone) {
             Ok(name) => name,
             Err(rcode) => return self.send_to_client(from, &dns::response(&query, rcode, &[])),
         };
@@ -235,13 +235,13 @@
         }
         // The last quarter is kept for calls, and of the rest no resolver takes more than half: guards the
         // others' turn against a flood from one.
-        let room = self.setup.most - self.setup.most / 4;
+        let room = self.config.max_look_ups - self.config.max_look_ups / 4;
         let own = self.asked.iter().filter(|(asker, _)| asker.ip() == from.ip()).count();
         if self.askers.len() >= room || own >= room.div_ceil(2) {
             return self.send_to_client(from, &dns::response(&query, dns::SERVFAIL, &[]));
         }
         self.asked.insert((from, id));
-        let within = self.setup.answer_within;
+        let within = self.config.answer_within;
         self.begin(Asker::Resolver { from, query }, QUERY, name, within);
     }
 
@@ -306,7 +306,7 @@
     fn query(&mut self, exchange: &ExchangeId, call: &CallId, left: Duration) {
         let (Some(me), Some(name)) = (self.me.upgrade(), self.names.get(call).cloned()) else { return };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
-        let (address, within) = (upstream.address, left.min(self.setup.query_timeout));
+        let (address, within) = (upstream.address, left.min(self.config.query_timeout));
         let (exchange, id) = (exchange.clone(), call.clone());
         let task = tokio::task::spawn_local(async move {
             let asked = tokio::time::timeout(within, ask(address, &name)).await;
@@ -347,7 +347,7 @@
     fn place(&self, lead: &Lead) -> Option<NodeNumber> {
         let Lead::Uri(uri) = lead else { return None };
         let host = dns::host_of(uri)?.to_ascii_lowercase();
-        self.setup.routes.get(&host).copied()
+        self.config.routes.get(&host).copied()
     }
 }
 
@@ -418,7 +418,7 @@
 /// Looks a number up for a call, following names that lead on, within a time.
 pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolved {
     let search = async {
-        let zone = front.borrow().setup.zone.clone();
+        let zone = front.borrow().config.zone.clone();
         let Some(mut name) = dns::name_of(&number, &zone) else { return Resolved::Nowhere };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
         let (full, end) = (format!("+{digits}"), tokio::time::Instant::now() + within);
@@ -426,7 +426,7 @@
             let (sender, answer) = oneshot::channel();
             {
                 let mut front = front.borrow_mut();
-                if front.askers.len() >= front.setup.most {
+                if front.askers.len() >= front.config.max_look_ups {
                     return Resolved::Unknown;
                 }
                 let left = end.saturating_duration_since(tokio::time::Instant::now());
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -23,7 +23,7 @@
 use crate::call::core::{Core, Effect, Reply, Request, CLEARED, CUT};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
-use crate::lifecycle::config::{Config, Listed, Update};
+use crate::lifecycle::config::{Config, ListUpdate, ListedExchange};
 use crate::metrics::Metrics;
 use crate::net::connection::{self, Clock, CloseReason, SharedWriteBuffer, Timed, WriteBudget, WriteBuffer};
 use crate::net::enumeration::{self, Resolved};
@@ -147,7 +147,7 @@
                 gauge_names: config.gauge_names.clone(),
                 connect_timeout: config.connect_timeout,
                 silence: config.settings.classes.iter().map(|c| c.target_delay / 2).min().unwrap_or_default(),
-                last_event: config.known_index,
+                last_event: config.last_known_event,
                 clients: ClientConnections::new(max_client_connections(config)),
                 invites: HashMap::new(),
                 releases: HashMap::new(),
@@ -174,8 +174,8 @@
     }
 
     fn apply_known(&mut self, config: &Config) {
-        for (index, known) in config.known.iter().enumerate() {
-            let kind = if index == 0 || known.whole { UpdateKind::Stored } else { UpdateKind::Changes };
+        for (index, known) in config.known_updates.iter().enumerate() {
+            let kind = if index == 0 || known.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
             self.update(kind, known);
         }
     }
@@ -269,9 +269,9 @@
 
     // ---- the list ------------------------------------------------------------------------------
 
-    fn update(&mut self, kind: UpdateKind, update: &Update) {
+    fn update(&mut self, kind: UpdateKind, update: &ListUpdate) {
         let now = self.clock.now();
-        let lines = &update.lines;
+        let lines = &update.exchanges;
         if kind != UpdateKind::Changes {
             let is_listed = |id: &ExchangeId| lines.iter().any(|l| l.entry.exchange == *id);
             let missing = self.pools.iter_mut().filter(|(id, _)| !is_listed(id));
@@ -279,7 +279,7 @@
         }
         let before: BTreeMap<ExchangeId, Option<Duration>> =
             self.core.exchanges.lines().map(|e| (e.exchange.clone(), e.up_since)).collect();
-        for Listed { entry, address } in lines {
+        for ListedExchange { entry, address } in lines {
             let id = &entry.exchange;
             let pool =
                 self.pools.entry(id.clone()).or_insert_with(|| ExchangePool::new(*address, self.silence));
@@ -291,7 +291,7 @@
             info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.node.0,
                 "health" => ?entry.health, "up_since" => ?entry.up_since, "event" => self.last_event);
         }
-        for Listed { address, .. } in lines.iter().filter(|l| l.entry.health != Health::Gone) {
+        for ListedExchange { address, .. } in lines.iter().filter(|l| l.entry.health != Health::Gone) {
             let former = self.pools.values().filter(|p| !p.is_listed() && p.address == *address);
             former.for_each(ExchangePool::give_up_address);
         }
@@ -304,8 +304,8 @@
 
     /// Set-ups that wait for a connection to an exchange that takes no new ones never left, and go elsewhere: the
     /// connection may come up long after the exchange's drain was told.
-    fn withdraw_queued(&mut self, lines: &[Listed]) {
-        for Listed { entry, .. } in lines.iter().filter(|l| l.entry.health != Health::Live) {
+    fn withdraw_queued(&mut self, lines: &[ListedExchange]) {
+        for ListedExchange { entry, .. } in lines.iter().filter(|l| l.entry.health != Health::Live) {
             let queued = self.pools.get_mut(&entry.exchange).map(ExchangePool::take_queued);
             for call in queued.unwrap_or_default() {
                 self.on_connection_reset(&entry.exchange, &call, false);
@@ -316,7 +316,7 @@
     pub(in crate::net) fn coordinator_frame(&mut self, frame: coordinator::Frame) {
         let Some(list) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
         self.last_event = frame.event_number;
-        let lines = list.records.into_iter().map(|r| Listed {
+        let lines = list.records.into_iter().map(|r| ListedExchange {
             entry: DirectoryEntry {
                 exchange: ExchangeId(r.id.into()),
                 node: NodeNumber(u32::from(r.place)),
@@ -330,7 +330,7 @@
             },
             address: r.address,
         });
-        let update = Update { whole: list.is_full_list, lines: lines.collect() };
+        let update = ListUpdate { is_full_list: list.is_full_list, exchanges: lines.collect() };
         self.update(if list.is_full_list { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
@@ -362,5 +362,5 @@
 }
 
 fn max_client_connections(config: &Config) -> usize {
-    (config.sockets as f64 * CLIENT_CONNECTIONS_SHARE) as usize
+    (config.max_sockets as f64 * CLIENT_CONNECTIONS_SHARE) as usize
 }
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use super::connection::Clock;
-use crate::lifecycle::config::Vrrp;
+use crate::lifecycle::config::VrrpConfig;
 use crate::protocol::vrrp::{Router, State};
 
 /// Largest advertisement: eight bytes and 255 addresses.
@@ -48,9 +48,9 @@
     }
 
     /// Takes up a new set-up; the state and its timer go on, so that nobody takes over for it.
-    pub fn reload(&self, setup: &Vrrp) {
-        self.router.borrow_mut().reload(&setup.setup);
-        self.peers.replace(setup.peers.clone());
+    pub fn reload(&self, config: &VrrpConfig) {
+        self.router.borrow_mut().reload(&config.router);
+        self.peers.replace(config.peers.clone());
     }
 
     /// Hands over to another router and ends.
--- a/src/protocol/vrrp.rs
+++ b/src/protocol/vrrp.rs
@@ -12,7 +12,7 @@
 
 /// How a virtual router is set up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Setup {
+pub struct Config {
     /// Virtual router, 1 to 255.
     pub vrid: u8,
     /// 1 to 254; 255 for the owner of the addresses.
@@ -105,7 +105,7 @@
 /// The state machine of one virtual router (RFC 9568, 6.4); it is fed the time.
 #[derive(Debug)]
 pub struct Router {
-    setup: Setup,
+    config: Config,
     me: SocketAddr,
     state: State,
     /// Interval of the active router, in centiseconds.
@@ -116,9 +116,9 @@
 
 impl Router {
     /// A router that has not started.
-    pub fn new(setup: Setup, me: SocketAddr) -> Self {
-        let active_interval = setup.interval;
-        Self { setup, me, state: State::Initialize, active_interval, due: None }
+    pub fn new(config: Config, me: SocketAddr) -> Self {
+        let active_interval = config.interval;
+        Self { config, me, state: State::Initialize, active_interval, due: None }
     }
 
     /// Its state.
@@ -128,10 +128,10 @@
 
     /// Takes up priority, interval and preemption while it runs. State and timer are kept: an active router
     /// stays so, and its next advertisement brings the change.
-    pub fn reload(&mut self, setup: &Setup) {
-        let Setup { priority, interval, preempt, .. } = *setup;
-        let (vrid, addresses) = (self.setup.vrid, std::mem::take(&mut self.setup.addresses));
-        self.setup = Setup { vrid, priority, interval, preempt, addresses };
+    pub fn reload(&mut self, config: &Config) {
+        let Config { priority, interval, preempt, .. } = *config;
+        let (vrid, addresses) = (self.config.vrid, std::mem::take(&mut self.config.addresses));
+        self.config = Config { vrid, priority, interval, preempt, addresses };
     }
 
     /// When [`Router::tick`] is due.
@@ -140,7 +140,7 @@
     }
 
     fn skew(&self) -> Duration {
-        CENTISECOND * u32::from(self.active_interval) * (256 - u32::from(self.setup.priority)) / 256
+        CENTISECOND * u32::from(self.active_interval) * (256 - u32::from(self.config.priority)) / 256
     }
 
     fn down_interval(&self) -> Duration {
@@ -148,9 +148,9 @@
     }
 
     fn advertise(&mut self, now: Duration, priority: u8) -> Vec<u8> {
-        self.due = Some(now + CENTISECOND * u32::from(self.setup.interval));
-        let (vrid, interval) = (self.setup.vrid, self.setup.interval);
-        Advertisement { vrid, priority, interval, addresses: self.setup.addresses.clone() }.encode()
+        self.due = Some(now + CENTISECOND * u32::from(self.config.interval));
+        let (vrid, interval) = (self.config.vrid, self.config.interval);
+        Advertisement { vrid, priority, interval, addresses: self.config.addresses.clone() }.encode()
     }
 
     fn back_up(&mut self, now: Duration, interval: u16) {
@@ -160,11 +160,11 @@
 
     /// Starts; what it returns is to be sent.
     pub fn start(&mut self, now: Duration) -> Option<Vec<u8>> {
-        if self.setup.priority == OWNER {
+        if self.config.priority == OWNER {
             self.state = State::Active;
             return Some(self.advertise(now, OWNER));
         }
-        self.back_up(now, self.setup.interval);
+        self.back_up(now, self.config.interval);
         None
     }
 
@@ -172,7 +172,7 @@
     pub fn tick(&mut self, now: Duration) -> Option<Vec<u8>> {
         self.due.filter(|due| *due <= now)?;
         self.state = State::Active;
-        Some(self.advertise(now, self.setup.priority))
+        Some(self.advertise(now, self.config.priority))
     }
 
     /// Stops; an active router says so, and the others need not wait for its silence.
@@ -193,16 +193,16 @@
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, &'static str> {
         let heard = Advertisement::decode(bytes)?;
-        if heard.vrid != self.setup.vrid {
+        if heard.vrid != self.config.vrid {
             return Err("another virtual router");
         }
         if heard.interval == 0 {
             return Err("no interval");
         }
-        if heard.priority == OWNER && self.setup.priority == OWNER {
+        if heard.priority == OWNER && self.config.priority == OWNER {
             return Err("two owners of the addresses");
         }
-        let mine = self.setup.priority;
+        let mine = self.config.priority;
         match self.state {
             State::Initialize => Ok(None),
             State::Backup if heard.priority == 0 => {
@@ -210,7 +210,7 @@
                 Ok(None)
             }
             State::Backup => {
-                if !self.setup.preempt || heard.priority >= mine {
+                if !self.config.preempt || heard.priority >= mine {
                     self.back_up(now, heard.interval);
                 }
                 Ok(None)
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -463,8 +463,8 @@
 #[case(include_str!("../deploy/appliance.json"), true)]
 fn the_files_for_operators_are_sound(#[case] text: &str, #[case] appliance: bool) {
     let config = quartzspindle::lifecycle::config::Config::parse(text).unwrap();
-    assert_eq!(config.known[0].lines.len(), 1);
-    let set_up = (config.enumeration.is_some(), config.vrrp.is_some(), config.console);
+    assert_eq!(config.known_updates[0].exchanges.len(), 1);
+    let set_up = (config.enum_front.is_some(), config.vrrp.is_some(), config.has_console);
     assert_eq!(set_up, (appliance, appliance, appliance));
 }
 
--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -11,7 +11,7 @@
 
 use harness::*;
 use quartzspindle::protocol::dns::{self, Lead, Message, Name, Naptr};
-use quartzspindle::protocol::vrrp::{Advertisement, Router as Virtual, Setup, State};
+use quartzspindle::protocol::vrrp::{Advertisement, Config, Router as Virtual, State};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -424,8 +424,8 @@
 
 // ---- VRRP --------------------------------------------------------------------------------------
 
-fn setup(priority: u8, preempt: bool) -> Setup {
-    Setup { vrid: 7, priority, interval: 100, preempt, addresses: vec![[10, 0, 0, 1].into()] }
+fn setup(priority: u8, preempt: bool) -> Config {
+    Config { vrid: 7, priority, interval: 100, preempt, addresses: vec![[10, 0, 0, 1].into()] }
 }
 
 fn advert(priority: u8) -> Vec<u8> {
