--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -53,11 +53,11 @@
 
 /// Where a call is to go, or why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Resolved {
+pub enum Resolution {
     /// To this place.
-    To(NodeNumber),
+    RouteTo(NodeNumber),
     /// The number does not exist or leads nowhere that is served here.
-    Nowhere,
+    NotFound,
     /// Not known in time.
     Unknown,
 }
@@ -416,10 +416,10 @@
 // ---- tasks -------------------------------------------------------------------------------------
 
 /// Looks a number up for a call, following names that lead on, within a time.
-pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolved {
+pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolution {
     let search = async {
         let zone = front.borrow().config.zone.clone();
-        let Some(mut name) = dns::name_of(&number, &zone) else { return Resolved::Nowhere };
+        let Some(mut name) = dns::name_of(&number, &zone) else { return Resolution::NotFound };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
         let (full, end) = (format!("+{digits}"), tokio::time::Instant::now() + within);
         for _ in 0..FOLLOWED {
@@ -427,12 +427,12 @@
             {
                 let mut front = front.borrow_mut();
                 if front.askers.len() >= front.config.max_look_ups {
-                    return Resolved::Unknown;
+                    return Resolution::Unknown;
                 }
                 let left = end.saturating_duration_since(tokio::time::Instant::now());
                 front.begin(Asker::Call(sender), CALL, name.clone(), left);
             }
-            let Ok(Some(found)) = answer.await else { return Resolved::Unknown };
+            let Ok(Some(found)) = answer.await else { return Resolution::Unknown };
             let leads = dns::leads(&found.records, &full);
             // Leads to hosts that are not served here are passed over, as are circles.
             let front = front.borrow();
@@ -441,14 +441,14 @@
                 uri => front.place(uri).map(Ok),
             });
             match next {
-                Some(Ok(place)) => return Resolved::To(place),
+                Some(Ok(place)) => return Resolution::RouteTo(place),
                 Some(Err(on)) if on != name => name = on,
-                _ => return Resolved::Nowhere,
+                _ => return Resolution::NotFound,
             }
         }
-        Resolved::Nowhere
+        Resolution::NotFound
     };
-    tokio::time::timeout(within, search).await.unwrap_or(Resolved::Unknown)
+    tokio::time::timeout(within, search).await.unwrap_or(Resolution::Unknown)
 }
 
 /// Takes queries.
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -177,13 +177,13 @@
             }
             let now = platform.clock.now();
             match found {
-                Resolved::To(place) => {
+                Resolution::RouteTo(place) => {
                     request.offer.destination = place;
                     request.offer.remaining = deadline.saturating_sub(now);
                     platform.core.request(now, request);
                 }
-                Resolved::Nowhere => platform.answer_unrouted(&id, 404),
-                Resolved::Unknown => platform.answer_unrouted(&id, 503),
+                Resolution::NotFound => platform.answer_unrouted(&id, 404),
+                Resolution::Unknown => platform.answer_unrouted(&id, 503),
             }
             platform.flush();
         });
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -26,7 +26,7 @@
 use crate::lifecycle::config::{Config, ListUpdate, ListedExchange};
 use crate::metrics::Metrics;
 use crate::net::connection::{self, Clock, CloseReason, SharedWriteBuffer, Timed, WriteBudget, WriteBuffer};
-use crate::net::enumeration::{self, Resolved};
+use crate::net::enumeration::{self, Resolution};
 use crate::net::exchange_pool::{ConnId, ExchangePool, Failure};
 use crate::net::{client_connections::ClientConnections, sockets};
 use crate::protocol::sip::{Message, StartLine};
@@ -175,7 +175,8 @@
 
     fn apply_known(&mut self, config: &Config) {
         for (index, known) in config.known_updates.iter().enumerate() {
-            let kind = if index == 0 || known.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
+            let kind =
+                if index == 0 || known.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
             self.update(kind, known);
         }
     }
@@ -319,7 +320,7 @@
         let lines = list.records.into_iter().map(|r| ListedExchange {
             entry: DirectoryEntry {
                 exchange: ExchangeId(r.id.into()),
-                node: NodeNumber(u32::from(r.place)),
+                node: NodeNumber(u32::from(r.node)),
                 zone: u32::from(r.zone),
                 health: match r.state {
                     0 => Health::Live,
--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -18,7 +18,7 @@
     /// Place in the settings' list of zones.
     pub zone: u8,
     /// Number of the exchange.
-    pub place: u16,
+    pub node: u16,
     /// Unix milliseconds of a late start, or 0.
     pub started_ms: u64,
 }
@@ -99,7 +99,7 @@
         address: SocketAddr::from((address, number(&bytes[8..10]) as u16)),
         state: bytes[10],
         zone: bytes[11],
-        place: number(&bytes[13..15]) as u16,
+        node: number(&bytes[13..15]) as u16,
         started_ms: number(&bytes[19..27]),
     }
 }
--- a/tests/protocols.rs
+++ b/tests/protocols.rs
@@ -60,7 +60,7 @@
     assert_eq!((frames[1].event_number, list.is_full_list, list.records.len()), (261, true, 1));
     let record = &list.records[0];
     assert_eq!((record.id.as_str(), record.address.to_string().as_str()), ("s-00c41f7a", "10.1.0.9:3868"));
-    assert_eq!((record.state, record.zone, record.place, record.started_ms), (1, 2, 3, 0x0190_0000_0001));
+    assert_eq!((record.state, record.zone, record.node, record.started_ms), (1, 2, 3, 0x0190_0000_0001));
 }
 
 #[test]
