--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -1,78 +1,80 @@
-//! The coordinator's frames: numbered news of the list of booking exchanges.
+//! Decoder for the coordinator's frames: numbered updates of the list of booking exchanges.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Largest frame taken.
+/// Maximum frame length in bytes, without the length field.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024;
-const RECORD: usize = 27;
+/// Size of one record in bytes.
+const RECORD_BYTES: usize = 27;
 
-/// One record of a frame.
+/// The state of one exchange, as a frame reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// The exchange's id, as text.
+    /// Id of the exchange, such as `s-00c41f7a`.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the exchange accepts connections.
     pub address: SocketAddr,
-    /// 0 ready, 1 draining, 2 gone.
+    /// State of the exchange: 0 ready, 1 draining, 2 gone.
     pub state: u8,
-    /// Place in the settings' list of zones.
+    /// Index into the list of zones in the settings.
     pub zone: u8,
-    /// Number of the exchange.
+    /// Number of the node that the exchange serves.
     pub node: u16,
-    /// Unix milliseconds of a late start, or 0.
+    /// Time of the last start in Unix milliseconds, or 0 if the exchange started long ago.
     pub started_ms: u64,
 }
 
-/// A frame.
+/// One numbered event of the coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
-    /// The event's number.
+    /// Number of the event.
     pub event_number: u64,
-    /// What it says; `None`: nothing new.
+    /// Change of the list; `None` in a heartbeat frame.
     pub update: Option<ListUpdate>,
 }
 
-/// News of the list.
+/// An update of the list of exchanges.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// The whole list, not changes only.
+    /// Whether the records are the full list, rather than changes to it.
     pub is_full_list: bool,
-    /// Its records.
+    /// The exchanges that the update reports.
     pub records: Vec<Record>,
 }
 
-/// Cuts a stream of bytes into frames.
+/// Splits a byte stream into frames.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
 }
 
-/// The first bytes on a new connection: the number of the last event held.
-pub fn hello(last: u64) -> [u8; 8] {
-    last.to_be_bytes()
+/// Returns the first bytes to send on a new connection: the number of the last event received.
+pub fn hello(last_event: u64) -> [u8; 8] {
+    last_event.to_be_bytes()
 }
 
-fn number(bytes: &[u8]) -> u64 {
+/// Reads a big-endian integer of up to eight bytes.
+fn read_integer(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
 impl Decoder {
-    /// Takes what was read.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if there is one.
+    /// Returns the next frame, or `None` if it has not arrived completely.
     ///
     /// # Errors
-    /// When the bytes are no frame; the connection is then of no more use.
+    /// If the bytes are not a valid frame; the stream can't be decoded any further.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, &'static str> {
         if self.bytes.len() < 4 {
             return Ok(None);
         }
-        let length = number(&self.bytes[..4]) as usize;
+        let length = read_integer(&self.bytes[..4]) as usize;
         if !(9..=MAX_FRAME_BYTES).contains(&length) {
-            return Err("frame of a wrong length");
+            return Err("frame length out of range");
         }
         if self.bytes.len() < 4 + length {
             return Ok(None);
@@ -81,25 +83,25 @@
         let payload = &frame[9..];
         let update = match frame[8] {
             0 => None,
-            kind @ (1 | 2) if payload.len() % RECORD == 0 => Some(ListUpdate {
+            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(ListUpdate {
                 is_full_list: kind == 1,
-                records: payload.chunks_exact(RECORD).map(record).collect(),
+                records: payload.chunks_exact(RECORD_BYTES).map(decode_record).collect(),
             }),
-            1 | 2 => return Err("frame with a part of a record"),
-            _ => return Err("frame of an unknown kind"),
+            1 | 2 => return Err("frame ends inside a record"),
+            _ => return Err("unknown frame kind"),
         };
-        Ok(Some(Frame { event_number: number(&frame[..8]), update }))
+        Ok(Some(Frame { event_number: read_integer(&frame[..8]), update }))
     }
 }
 
-fn record(bytes: &[u8]) -> Record {
-    let address = Ipv4Addr::from(number(&bytes[4..8]) as u32);
+fn decode_record(bytes: &[u8]) -> Record {
+    let address = Ipv4Addr::from(read_integer(&bytes[4..8]) as u32);
     Record {
-        id: format!("s-{:08x}", number(&bytes[..4])),
-        address: SocketAddr::from((address, number(&bytes[8..10]) as u16)),
+        id: format!("s-{:08x}", read_integer(&bytes[..4])),
+        address: SocketAddr::from((address, read_integer(&bytes[8..10]) as u16)),
         state: bytes[10],
         zone: bytes[11],
-        node: number(&bytes[13..15]) as u16,
-        started_ms: number(&bytes[19..27]),
+        node: read_integer(&bytes[13..15]) as u16,
+        started_ms: read_integer(&bytes[19..27]),
     }
 }
--- a/src/protocol/jsonl.rs
+++ b/src/protocol/jsonl.rs
@@ -1,29 +1,30 @@
-//! The booking exchanges' wire: one JSON object a line. Decoder, parser and writer.
+//! The protocol of the booking exchanges: JSON Lines, one object per message. Holds the stream decoder, a
+//! JSON parser and the encoders of outgoing messages.
 
 use std::fmt::Write as _;
 
-/// Largest line taken.
+/// Maximum line length in bytes, including the line break.
 pub const MAX_LINE_BYTES: usize = 16 * 1024;
-/// Deepest nesting taken: guards the stack against a line of brackets.
-const DEEPEST: usize = 8;
+/// Maximum nesting depth of a value. The parser recurses, so a line of brackets would overflow the stack.
+const MAX_DEPTH: usize = 8;
 
-/// A JSON value, as far as the wire uses them.
+/// A JSON value, reduced to what the protocol uses.
 #[derive(Debug, Clone, PartialEq)]
 enum Value {
     Text(String),
     Number(f64),
-    Fields(Vec<(String, Value)>),
-    /// Lists, booleans and null: read and passed over.
+    Object(Vec<(String, Value)>),
+    /// An array, a boolean or null, whose content is not kept.
     Other,
 }
 
 impl Value {
     fn get(&self, name: &str) -> Option<&Value> {
-        let Self::Fields(fields) = self else { return None };
+        let Self::Object(fields) = self else { return None };
         fields.iter().find(|(n, _)| n == name).map(|(_, v)| v)
     }
 
-    /// Fields may be strings or numbers.
+    /// Returns the value as text if it is a string or a number; exchanges send both in the same fields.
     fn text(&self) -> Option<String> {
         match self {
             Self::Text(text) => Some(text.clone()),
@@ -33,45 +34,46 @@
     }
 }
 
-/// What a booking exchange says.
+/// A message from a booking exchange.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
-    /// `START`, `STARTED`, `FINISH` and so on.
+    /// Kind of message, such as `STARTED` or `FINISH`.
     pub verb: String,
-    /// The call, or empty.
+    /// Id of the call; empty if the message belongs to no call.
     pub tag: String,
-    /// Cause of a release.
+    /// Q.850 cause of a release (field `rc`).
     pub cause: Option<u32>,
-    /// Description.
+    /// Session description.
     pub blob: Option<String>,
-    /// Why it was turned away.
+    /// Reason for a refusal, such as `group_full`.
     pub note: Option<String>,
-    /// Load report.
+    /// Load report, a list such as `spare:500;total:500`.
     pub load: Option<String>,
 }
 
-/// Cuts a stream of bytes into lines.
+/// Splits a byte stream into messages.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
+    /// Number of leading bytes known to hold no line break, so that no byte is searched twice.
     searched: usize,
 }
 
 impl Decoder {
-    /// Takes what was read.
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether it holds a part of a line.
+    /// Returns whether bytes of an incomplete line are buffered.
     pub fn has_partial_line(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// The next line, if a whole one is there.
+    /// Returns the next message, or `None` if no complete line has arrived. Blank lines are skipped.
     ///
     /// # Errors
-    /// When a line is too long or is no message; the connection is then of no more use.
+    /// If a line is too long or is not a valid message; the connection must then be closed.
     pub fn next_message(&mut self) -> Result<Option<Message>, &'static str> {
         loop {
             let end = self.bytes[self.searched..].iter().position(|b| *b == b'\n');
@@ -87,39 +89,40 @@
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            return parse(&line).map(Some);
+            return parse_message(&line).map(Some);
         }
     }
 }
 
-fn parse(line: &[u8]) -> Result<Message, &'static str> {
+fn parse_message(line: &[u8]) -> Result<Message, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "line is not UTF-8")?;
-    let mut parser = Parser { text, at: 0 };
-    let object = parser.value(0).ok_or("line is no JSON")?;
-    parser.space();
-    if parser.at != text.len() {
+    let mut parser = Parser { text, position: 0 };
+    let object = parser.parse_value(0).ok_or("line is not JSON")?;
+    parser.skip_whitespace();
+    if parser.position != text.len() {
         return Err("more than one value on a line");
     }
-    let string = |value: Option<&Value>| value.and_then(Value::text);
+    let text_of = |value: Option<&Value>| value.and_then(Value::text);
     let opts = object.get("opts");
-    let verb = string(object.get("verb")).ok_or("no verb")?;
+    let verb = text_of(object.get("verb")).ok_or("no verb")?;
     let message = Message {
         verb,
-        tag: string(object.get("tag")).unwrap_or_default(),
+        tag: text_of(object.get("tag")).unwrap_or_default(),
         cause: match object.get("rc") {
             Some(Value::Number(n)) if (0.0..1e9).contains(n) => Some(*n as u32),
             Some(Value::Text(t)) => t.parse().ok(),
             _ => None,
         },
-        blob: string(object.get("blob")),
-        note: string(opts.and_then(|o| o.get("note"))),
-        load: string(opts.and_then(|o| o.get("load"))),
+        blob: text_of(object.get("blob")),
+        note: text_of(opts.and_then(|o| o.get("note"))),
+        load: text_of(opts.and_then(|o| o.get("load"))),
     };
-    // Guards against an answer passed on that no exchange made: what lacks a part was spoilt on its way.
+    // A message with a missing part was corrupted on its way. It is rejected, so that no answer is passed on
+    // that the exchange did not give.
     match message.verb.as_str() {
-        "STARTED" | "FINISH" if message.tag.is_empty() => Err("no call named"),
-        "STARTED" if message.blob.is_none() => Err("answer without its description"),
-        "FINISH" if message.cause.is_none() => Err("end without its cause"),
+        "STARTED" | "FINISH" if message.tag.is_empty() => Err("no call id"),
+        "STARTED" if message.blob.is_none() => Err("STARTED without a description"),
+        "FINISH" if message.cause.is_none() => Err("FINISH without a cause"),
         "STARTED" | "FINISH" | "FINISHED" | "PENDING" | "LOAD" | "ECHO" | "ECHOED" | "START" => Ok(message),
         _ => Err("unknown verb"),
     }
@@ -127,91 +130,93 @@
 
 struct Parser<'a> {
     text: &'a str,
-    at: usize,
+    position: usize,
 }
 
 impl Parser<'_> {
-    fn rest(&self) -> &str {
-        &self.text[self.at..]
+    fn remaining(&self) -> &str {
+        &self.text[self.position..]
     }
 
-    fn space(&mut self) {
-        self.at += self.rest().len() - self.rest().trim_start_matches([' ', '\t', '\r', '\n']).len();
+    fn skip_whitespace(&mut self) {
+        self.position +=
+            self.remaining().len() - self.remaining().trim_start_matches([' ', '\t', '\r', '\n']).len();
     }
 
-    fn eat(&mut self, token: &str) -> bool {
-        self.space();
-        let found = self.rest().starts_with(token);
-        self.at += if found { token.len() } else { 0 };
+    /// Skips whitespace and then `token`; returns whether the token was there.
+    fn consume(&mut self, token: &str) -> bool {
+        self.skip_whitespace();
+        let found = self.remaining().starts_with(token);
+        self.position += if found { token.len() } else { 0 };
         found
     }
 
-    fn value(&mut self, depth: usize) -> Option<Value> {
-        if depth > DEEPEST {
+    fn parse_value(&mut self, depth: usize) -> Option<Value> {
+        if depth > MAX_DEPTH {
             return None;
         }
-        if self.eat("{") {
+        if self.consume("{") {
             let mut fields = Vec::new();
-            if self.eat("}") {
-                return Some(Value::Fields(fields));
+            if self.consume("}") {
+                return Some(Value::Object(fields));
             }
             loop {
-                self.space();
-                let name = self.string()?;
-                if !self.eat(":") {
+                self.skip_whitespace();
+                let name = self.parse_string()?;
+                if !self.consume(":") {
                     return None;
                 }
-                fields.push((name, self.value(depth + 1)?));
-                if self.eat("}") {
-                    return Some(Value::Fields(fields));
+                fields.push((name, self.parse_value(depth + 1)?));
+                if self.consume("}") {
+                    return Some(Value::Object(fields));
                 }
-                if !self.eat(",") {
+                if !self.consume(",") {
                     return None;
                 }
             }
         }
-        if self.eat("[") {
-            if self.eat("]") {
+        if self.consume("[") {
+            if self.consume("]") {
                 return Some(Value::Other);
             }
             loop {
-                self.value(depth + 1)?;
-                if self.eat("]") {
+                self.parse_value(depth + 1)?;
+                if self.consume("]") {
                     return Some(Value::Other);
                 }
-                if !self.eat(",") {
+                if !self.consume(",") {
                     return None;
                 }
             }
         }
-        if ["true", "false", "null"].into_iter().any(|word| self.eat(word)) {
+        if ["true", "false", "null"].into_iter().any(|word| self.consume(word)) {
             return Some(Value::Other);
         }
-        if self.rest().starts_with('"') {
-            return self.string().map(Value::Text);
+        if self.remaining().starts_with('"') {
+            return self.parse_string().map(Value::Text);
         }
-        let end = self.rest().find(|c: char| !matches!(c, '0'..='9' | '-' | '+' | '.' | 'e' | 'E'));
-        let number = &self.rest()[..end.unwrap_or(self.rest().len())];
+        let end = self.remaining().find(|c: char| !matches!(c, '0'..='9' | '-' | '+' | '.' | 'e' | 'E'));
+        let number = &self.remaining()[..end.unwrap_or(self.remaining().len())];
         let (length, number) = (number.len(), number.parse().ok()?);
-        self.at += length;
+        self.position += length;
         Some(Value::Number(number))
     }
 
-    fn string(&mut self) -> Option<String> {
-        if !self.rest().starts_with('"') {
+    fn parse_string(&mut self) -> Option<String> {
+        if !self.remaining().starts_with('"') {
             return None;
         }
-        self.at += 1;
+        self.position += 1;
         let mut out = String::new();
         loop {
-            let plain = self.rest().find(['"', '\\'])?;
-            out.push_str(&self.rest()[..plain]);
-            self.at += plain + 1;
-            if self.text.as_bytes()[self.at - 1] == b'"' {
+            let unescaped = self.remaining().find(['"', '\\'])?;
+            out.push_str(&self.remaining()[..unescaped]);
+            self.position += unescaped + 1;
+            if self.text.as_bytes()[self.position - 1] == b'"' {
                 return Some(out);
             }
-            let escape = self.rest().chars().next()?;
-            self.at += escape.len_utf8();
+            let escape = self.remaining().chars().next()?;
+            self.position += escape.len_utf8();
             match escape {
                 '"' | '\\' | '/' => out.push(escape),
                 'b' => out.push('\u{8}'),
@@ -220,10 +225,10 @@
                 'r' => out.push('\r'),
                 't' => out.push('\t'),
                 'u' => {
-                    let mut code = self.hex()?;
-                    if (0xd800..0xdc00).contains(&code) && self.rest().starts_with("\\u") {
-                        self.at += 2;
-                        let low = self.hex().filter(|l| (0xdc00..0xe000).contains(l))?;
+                    let mut code = self.parse_hex4()?;
+                    if (0xd800..0xdc00).contains(&code) && self.remaining().starts_with("\\u") {
+                        self.position += 2;
+                        let low = self.parse_hex4().filter(|l| (0xdc00..0xe000).contains(l))?;
                         code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
                     }
                     out.push(char::from_u32(code)?);
@@ -233,15 +238,17 @@
         }
     }
 
-    fn hex(&mut self) -> Option<u32> {
-        let digits = self.rest().get(..4).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()))?;
+    /// Parses the four hexadecimal digits of a `\u` escape.
+    fn parse_hex4(&mut self) -> Option<u32> {
+        let digits = self.remaining().get(..4).filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit()))?;
         let code = u32::from_str_radix(digits, 16).ok()?;
-        self.at += 4;
+        self.position += 4;
         Some(code)
     }
 }
 
-fn quote(text: &str, out: &mut String) {
+/// Appends `text` as a quoted JSON string.
+fn write_string(text: &str, out: &mut String) {
     out.push('"');
     for c in text.chars() {
         match c {
@@ -259,32 +266,33 @@
     out.push('"');
 }
 
-/// A set-up.
+/// Encodes a set-up. `key` is the called number, `left_ms` the time in milliseconds until
+/// the caller gives up.
 pub fn start(tag: &str, class: &str, key: &str, left_ms: u128, blob: &str) -> Vec<u8> {
     let mut line = String::from("{\"verb\":\"START\",\"tag\":");
-    quote(tag, &mut line);
+    write_string(tag, &mut line);
     line.push_str(",\"opts\":{\"class\":");
-    quote(class, &mut line);
+    write_string(class, &mut line);
     line.push_str(",\"key\":");
-    quote(key, &mut line);
+    write_string(key, &mut line);
     let _ = write!(line, ",\"left\":\"{left_ms}\"}},\"blob\":");
-    quote(blob, &mut line);
+    write_string(blob, &mut line);
     line.push_str("}\n");
     line.into_bytes()
 }
 
-/// A set-up given up, or a release.
+/// Encodes the end of a call: a set-up that is given up, or a release with its Q.850 cause.
 pub fn finish(tag: &str, cause: u32) -> Vec<u8> {
     let mut line = String::from("{\"verb\":\"FINISH\",\"tag\":");
-    quote(tag, &mut line);
+    write_string(tag, &mut line);
     let _ = writeln!(line, ",\"opts\":{{}},\"rc\":{cause}}}");
     line.into_bytes()
 }
 
-/// A message with no more than a verb, a call and perhaps a cause: `FINISHED`, `ECHOED`.
+/// Encodes a reply without content, such as `FINISHED` or `ECHOED`, with an optional cause.
 pub fn reply(verb: &str, tag: &str, cause: Option<u32>) -> Vec<u8> {
     let mut line = format!("{{\"verb\":\"{verb}\",\"tag\":");
-    quote(tag, &mut line);
+    write_string(tag, &mut line);
     line.push_str(",\"opts\":{}");
     if let Some(cause) = cause {
         let _ = write!(line, ",\"rc\":{cause}");
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The protocols, each a state machine that is fed bytes and time and knows no socket.
+//! Protocol codecs and state machines. They take bytes and the current time as input and do no I/O.
 
 pub mod coordinator;
 pub mod dns;
