--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -417,7 +417,7 @@
         router: vrrp::Config {
             vrid: bounded(&root.get("vrid"), 1, 1, 255)? as u8,
             priority: bounded(&root.get("priority"), 100, 1, 255)? as u8,
-            interval: bounded(&root.get("interval_cs"), 100, 1, 4095)? as u16,
+            interval_cs: bounded(&root.get("interval_cs"), 100, 1, 4095)? as u16,
             preempt: root.get("preempt").flag(true)?,
             addresses: addresses_backed,
         },
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -24,7 +24,7 @@
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
 use crate::lifecycle::config::EnumConfig;
-use crate::protocol::dns::{self, Lead, Message, Name, Naptr};
+use crate::protocol::dns::{self, Message, Name, Naptr, Target};
 use crate::Controller;
 
 /// Class of a resolver's query.
@@ -221,12 +221,14 @@
         if !self.active.get() {
             return;
         }
-        let Some((id, response)) = dns::id_of(bytes) else { return };
+        let Some((id, response)) = dns::decode_header(bytes) else { return };
         if response {
             return; // guards against two servers that answer each other for ever
         }
-        let Some(query) = dns::read(bytes) else { return self.send_to_client(from, &dns::formerr(id)) };
-        let name = match dns::served(&query, &self.config.zone) {
+        let Some(query) = dns::decode(bytes) else {
+            return self.send_to_client(from, &dns::format_error_response(id));
+        };
+        let name = match dns::validate_query(&query, &self.config.zone) {
             Ok(name) => name,
             Err(rcode) => return self.send_to_client(from, &dns::response(&query, rcode, &[])),
         };
@@ -322,7 +324,7 @@
             Err(Failed::Silent) => AttemptStatus::TimedOut,
             Err(Failed::Unreachable) => AttemptStatus::Unreachable,
             // What is cut or spoilt can't be read whole here; another server may give it in full.
-            Ok(reply) if reply.truncated => AttemptStatus::Full,
+            Ok(reply) if reply.is_truncated => AttemptStatus::Full,
             Ok(reply) => match reply.rcode {
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.found.insert(call.clone(), Found { rcode: reply.rcode, records: reply.records });
@@ -344,9 +346,9 @@
     }
 
     /// The place that a lead's host stands for.
-    fn place(&self, lead: &Lead) -> Option<NodeNumber> {
-        let Lead::Uri(uri) = lead else { return None };
-        let host = dns::host_of(uri)?.to_ascii_lowercase();
+    fn place(&self, lead: &Target) -> Option<NodeNumber> {
+        let Target::Uri(uri) = lead else { return None };
+        let host = dns::sip_uri_host(uri)?.to_ascii_lowercase();
         self.config.routes.get(&host).copied()
     }
 }
@@ -367,14 +369,14 @@
 fn answers(reply: &Message, id: u16, name: &Name) -> bool {
     let question = reply.question.as_ref();
     let same = question.is_some_and(|(n, kind, class)| n == name && (*kind, *class) == (dns::NAPTR, 1));
-    reply.response && reply.opcode == 0 && reply.id == id && same
+    reply.is_response && reply.opcode == 0 && reply.id == id && same
 }
 
 /// One query and its reply. What does not fit a datagram is asked for again over TCP (RFC 7766); if that
 /// fails, the reply stays cut.
 async fn ask(upstream: SocketAddr, name: &Name) -> Result<Message, Failed> {
     let reply = ask_by_datagram(upstream, name).await?;
-    if !reply.truncated {
+    if !reply.is_truncated {
         return Ok(reply);
     }
     Ok(ask_by_stream(upstream, name).await.unwrap_or(reply))
@@ -384,12 +386,12 @@
     let unreachable = |_: io::Error| Failed::Unreachable;
     let mut stream = TcpStream::connect(upstream).await.map_err(unreachable)?;
     let id = random_id()?;
-    stream.write_all(&dns::framed(&dns::query(id, name))).await.map_err(unreachable)?;
+    stream.write_all(&dns::with_length_prefix(&dns::query(id, name))).await.map_err(unreachable)?;
     // The length is two bytes, so what is read is bounded.
     let length = stream.read_u16().await.map_err(unreachable)?;
     let mut bytes = vec![0; usize::from(length)];
     stream.read_exact(&mut bytes).await.map_err(unreachable)?;
-    dns::read(&bytes).filter(|reply| answers(reply, id, name)).ok_or(Failed::Unreachable)
+    dns::decode(&bytes).filter(|reply| answers(reply, id, name)).ok_or(Failed::Unreachable)
 }
 
 /// From a port of its own, with a random id; anything else that arrives there is passed over, since anyone
@@ -405,7 +407,7 @@
     loop {
         let length = socket.recv(&mut buffer).await.map_err(unreachable)?;
         // Guards against waiting out a reply that came and was spoilt: another server is asked at once.
-        let reply = dns::read(&buffer[..length]).or_else(|| dns::read_spoilt(&buffer[..length]));
+        let reply = dns::decode(&buffer[..length]).or_else(|| dns::decode_corrupt(&buffer[..length]));
         let Some(reply) = reply else { continue };
         if answers(&reply, id, name) {
             return Ok(reply);
@@ -419,7 +421,7 @@
 pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolution {
     let search = async {
         let zone = front.borrow().config.zone.clone();
-        let Some(mut name) = dns::name_of(&number, &zone) else { return Resolution::NotFound };
+        let Some(mut name) = dns::name_for_number(&number, &zone) else { return Resolution::NotFound };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
         let (full, end) = (format!("+{digits}"), tokio::time::Instant::now() + within);
         for _ in 0..FOLLOWED {
@@ -433,11 +435,11 @@
                 front.begin(Asker::Call(sender), CALL, name.clone(), left);
             }
             let Ok(Some(found)) = answer.await else { return Resolution::Unknown };
-            let leads = dns::leads(&found.records, &full);
+            let leads = dns::targets(&found.records, &full);
             // Leads to hosts that are not served here are passed over, as are circles.
             let front = front.borrow();
             let next = leads.iter().find_map(|lead| match lead {
-                Lead::On(on) => Some(Err(on.clone())),
+                Target::Name(on) => Some(Err(on.clone())),
                 uri => front.place(uri).map(Ok),
             });
             match next {
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -77,7 +77,7 @@
         if !self.peers.borrow().contains(&from) {
             return debug!(self.log, "advertisement discarded"; "from" => %from, "why" => "a stranger");
         }
-        let heard = self.router.borrow_mut().hear(self.clock.now(), from, bytes);
+        let heard = self.router.borrow_mut().receive(self.clock.now(), from, bytes);
         match heard {
             Ok(reply) => self.send(reply),
             Err(why) => debug!(self.log, "advertisement discarded"; "from" => %from, "why" => why),
@@ -91,11 +91,11 @@
     standby.send(first);
     let mut buffer = [0; DATAGRAM];
     loop {
-        let due = standby.router.borrow().due().unwrap_or_else(|| standby.clock.now());
+        let due = standby.router.borrow().next_due().unwrap_or_else(|| standby.clock.now());
         tokio::select! {
             () = standby.stopped.notified() => return,
             () = tokio::time::sleep_until(standby.clock.instant(due)) => {
-                let advertisement = standby.router.borrow_mut().tick(standby.clock.now());
+                let advertisement = standby.router.borrow_mut().on_timer(standby.clock.now());
                 standby.send(advertisement);
             }
             heard = standby.socket.recv_from(&mut buffer) => {
--- a/src/protocol/dns.rs
+++ b/src/protocol/dns.rs
@@ -1,35 +1,40 @@
-//! DNS messages (RFC 1035), as far as NAPTR look-ups (RFC 3403) need them.
+//! DNS messages (RFC 1035), limited to what NAPTR look-ups (RFC 3403) need, and the rules of ENUM (RFC 6116).
 
 use std::fmt;
 
-/// NAPTR.
+/// Record type NAPTR.
 pub const NAPTR: u16 = 35;
+/// Record type OPT (EDNS, RFC 6891).
 const OPT: u16 = 41;
+/// Class IN.
 const IN: u16 = 1;
-const HEAD: usize = 12;
-/// Largest answer without and with EDNS (RFC 6891; the second is what crosses any link whole).
-const PLAIN: usize = 512;
-const EXTENDED: usize = 1232;
-/// Records read of one section at most.
-const MOST_RECORDS: usize = 128;
-
-/// Memory that a compiled substitution expression may take, bytes.
-const LARGEST_EXPRESSION: usize = 64 * 1024;
-
-/// No error.
+/// Size of the message header in bytes.
+const HEADER_BYTES: usize = 12;
+/// Maximum response size in bytes without EDNS.
+const MAX_RESPONSE_BYTES: usize = 512;
+/// Maximum response size in bytes with EDNS (RFC 6891). A datagram of this size crosses any link without
+/// fragmentation.
+const MAX_EDNS_RESPONSE_BYTES: usize = 1232;
+/// Maximum number of records in one section; a message with more is rejected.
+const MAX_RECORDS: usize = 128;
+
+/// Maximum memory in bytes for a compiled substitution expression.
+const MAX_EXPRESSION_BYTES: usize = 64 * 1024;
+
+/// Response code: no error.
 pub const NOERROR: u8 = 0;
-/// The query could not be read.
+/// Response code: the query could not be interpreted.
 pub const FORMERR: u8 = 1;
-/// The server could not do it.
+/// Response code: the server failed to process the query.
 pub const SERVFAIL: u8 = 2;
-/// There is no such name.
+/// Response code: the name does not exist.
 pub const NXDOMAIN: u8 = 3;
-/// This kind of query is not served.
+/// Response code: the kind of query is not supported.
 pub const NOTIMP: u8 = 4;
-/// The server will not do it.
+/// Response code: the server refuses the query by policy.
 pub const REFUSED: u8 = 5;
 
-/// A domain name; letters are kept as they came and compared without case.
+/// A domain name. The case of letters is preserved, and ignored in comparisons.
 #[derive(Debug, Clone, Eq)]
 pub struct Name(Vec<Vec<u8>>);
 
@@ -40,33 +45,35 @@
 }
 
 impl Name {
-    /// Reads a name from text, as `4.3.2.1.e164.arpa`.
+    /// Parses a name such as `4.3.2.1.e164.arpa`; returns `None` if a label or the name has an invalid
+    /// length.
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.strip_suffix('.').unwrap_or(text);
         let labels: Vec<Vec<u8>> = text.split('.').map(|l| l.as_bytes().to_vec()).collect();
-        let fits = labels.iter().all(|l| (1..=63).contains(&l.len()));
-        (fits && labels.iter().map(|l| l.len() + 1).sum::<usize>() < 255).then_some(Self(labels))
+        let lengths_valid = labels.iter().all(|l| (1..=63).contains(&l.len()));
+        (lengths_valid && labels.iter().map(|l| l.len() + 1).sum::<usize>() < 255).then_some(Self(labels))
     }
 
-    /// Whether it lies under a zone.
+    /// Returns whether the name lies below the apex of `zone`.
     pub fn is_under(&self, zone: &Self) -> bool {
         self.0.len() > zone.0.len() && Self(self.0[self.0.len() - zone.0.len()..].to_vec()) == *zone
     }
 
-    /// The number it stands for under a zone, with its plus: single digits, last first (RFC 6116, 3.2).
-    pub fn number(&self, zone: &Self) -> Option<String> {
+    /// Returns the E.164 number, with a leading `+`, that the name encodes under `zone`: one label per digit,
+    /// the last digit first (RFC 6116, section 3.2).
+    pub fn e164_number(&self, zone: &Self) -> Option<String> {
         let digits = self.0.get(..self.0.len().checked_sub(zone.0.len())?)?;
-        let single = digits.iter().all(|l| l.len() == 1 && l[0].is_ascii_digit());
-        let valid = self.is_under(zone) && single && digits.len() <= 15;
+        let is_all_digits = digits.iter().all(|l| l.len() == 1 && l[0].is_ascii_digit());
+        let is_valid = self.is_under(zone) && is_all_digits && digits.len() <= 15;
         let text = |l: &Vec<u8>| l.iter().map(|b| char::from(*b)).collect::<String>();
-        valid.then(|| format!("+{}", digits.iter().rev().map(text).collect::<String>()))
+        is_valid.then(|| format!("+{}", digits.iter().rev().map(text).collect::<String>()))
     }
 
     fn is_root(&self) -> bool {
         self.0.is_empty()
     }
 
-    fn write(&self, out: &mut Vec<u8>) {
+    fn encode(&self, out: &mut Vec<u8>) {
         for label in &self.0 {
             out.push(label.len() as u8);
             out.extend_from_slice(label);
@@ -82,99 +89,99 @@
     }
 }
 
-/// The name of a number under a zone; `None` if it is no number in full.
-pub fn name_of(number: &str, zone: &Name) -> Option<Name> {
+/// Returns the name that encodes an E.164 number under a zone, or `None` if it is not a full number.
+pub fn name_for_number(number: &str, zone: &Name) -> Option<Name> {
     let digits = number.strip_prefix('+').unwrap_or(number);
-    let plain: String = digits.chars().filter(|c| !matches!(c, '-' | '.' | ' ' | '(' | ')')).collect();
-    let valid = (1..=15).contains(&plain.len()) && plain.bytes().all(|b| b.is_ascii_digit());
-    let labels = plain.bytes().rev().map(|b| vec![b]).chain(zone.0.iter().cloned());
-    valid.then(|| Name(labels.collect()))
+    let digits_only: String = digits.chars().filter(|c| !matches!(c, '-' | '.' | ' ' | '(' | ')')).collect();
+    let is_valid = (1..=15).contains(&digits_only.len()) && digits_only.bytes().all(|b| b.is_ascii_digit());
+    let labels = digits_only.bytes().rev().map(|b| vec![b]).chain(zone.0.iter().cloned());
+    is_valid.then(|| Name(labels.collect()))
 }
 
 /// A NAPTR record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Naptr {
-    /// Time to live, s.
+    /// Time to live in seconds.
     pub ttl: u32,
-    /// Lower orders are looked at first.
+    /// Records with a lower order are processed first.
     pub order: u16,
-    /// Within an order lower preferences come first.
+    /// Among records of equal order, those with a lower preference come first.
     pub preference: u16,
-    /// `u`: the result is a URI; empty: look on at the replacement.
+    /// `u` if the result is a URI; empty if the look-up continues at the replacement.
     pub flags: Vec<u8>,
-    /// As `E2U+sip`.
+    /// Services, such as `E2U+sip`.
     pub services: Vec<u8>,
-    /// As `!^.*$!sip:info@example.com!`.
+    /// Substitution expression, such as `!^.*$!sip:info@example.com!`.
     pub regexp: Vec<u8>,
-    /// Where to look on; root if there is none.
+    /// Name at which the look-up continues, or the root name.
     pub replacement: Name,
 }
 
-/// A message read.
+/// A decoded message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Its id.
+    /// Message id.
     pub id: u16,
-    /// It is a response.
-    pub response: bool,
-    /// Kind of query; 0 is the standard one.
+    /// Whether the message is a response.
+    pub is_response: bool,
+    /// Kind of query; 0 for a standard query.
     pub opcode: u8,
-    /// It was cut to fit.
-    pub truncated: bool,
-    /// The asker wants recursion.
-    pub recursion: bool,
-    /// How it went.
+    /// Whether the message was truncated (TC bit).
+    pub is_truncated: bool,
+    /// Whether the client asks for recursion (RD bit).
+    pub recursion_desired: bool,
+    /// Response code.
     pub rcode: u8,
-    /// What is asked: name, type and class.
+    /// Question: name, type and class.
     pub question: Option<(Name, u16, u16)>,
-    /// NAPTR records that belong to the question.
+    /// NAPTR records of the answer section whose owner is the name in the question.
     pub records: Vec<Naptr>,
-    /// The asker takes answers of up to this size.
-    pub room: usize,
-    /// It brought an EDNS record.
-    pub edns: bool,
+    /// Maximum size in bytes of a response to this message.
+    pub max_response_bytes: usize,
+    /// Whether the message has an OPT record.
+    pub has_edns: bool,
 }
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let part = self.bytes.get(self.at..self.at.checked_add(n)?)?;
-        self.at += n;
+    fn read_bytes(&mut self, n: usize) -> Option<&'a [u8]> {
+        let part = self.bytes.get(self.position..self.position.checked_add(n)?)?;
+        self.position += n;
         Some(part)
     }
 
-    fn byte(&mut self) -> Option<u8> {
-        self.take(1).map(|b| b[0])
+    fn read_u8(&mut self) -> Option<u8> {
+        self.read_bytes(1).map(|b| b[0])
     }
 
-    fn short(&mut self) -> Option<u16> {
-        self.take(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
+    fn read_u16(&mut self) -> Option<u16> {
+        self.read_bytes(2).map(|b| u16::from_be_bytes([b[0], b[1]]))
     }
 
-    fn long(&mut self) -> Option<u32> {
-        Some(u32::from(self.short()?) << 16 | u32::from(self.short()?))
+    fn read_u32(&mut self) -> Option<u32> {
+        Some(u32::from(self.read_u16()?) << 16 | u32::from(self.read_u16()?))
     }
 
-    fn string(&mut self) -> Option<Vec<u8>> {
-        let length = usize::from(self.byte()?);
-        self.take(length).map(<[u8]>::to_vec)
+    /// Reads a character string: a length byte and that many bytes.
+    fn read_string(&mut self) -> Option<Vec<u8>> {
+        let length = usize::from(self.read_u8()?);
+        self.read_bytes(length).map(<[u8]>::to_vec)
     }
 
-    /// A name, compressed or not.
-    ///
-    /// Guards against pointers that run in a circle: each must lead further back than the last.
-    fn name(&mut self) -> Option<Name> {
-        let (mut at, mut limit, mut end) = (self.at, self.at, None);
+    /// Reads a name, with or without compression. Each pointer must lead further back than the one before, so
+    /// that a loop of pointers ends.
+    fn read_name(&mut self) -> Option<Name> {
+        let (mut at, mut limit, mut end) = (self.position, self.position, None);
         let (mut labels, mut length) = (Vec::new(), 0);
         loop {
             let size = *self.bytes.get(at)?;
             match size {
                 0 => {
-                    self.at = end.unwrap_or(at + 1);
+                    self.position = end.unwrap_or(at + 1);
                     return Some(Name(labels));
                 }
                 1..=63 => {
@@ -199,125 +206,128 @@
         }
     }
 
-    /// One record: owner, type, class, and its NAPTR data if it is one.
-    fn record(&mut self) -> Option<(Name, u16, u16, Option<Naptr>)> {
-        let owner = self.name()?;
-        let (kind, class, ttl) = (self.short()?, self.short()?, self.long()?);
-        let length = usize::from(self.short()?);
-        let end = self.at + length;
-        self.bytes.get(self.at..end)?;
+    /// Reads a record and returns its owner, type and class, and its data if it is a NAPTR record.
+    fn read_record(&mut self) -> Option<(Name, u16, u16, Option<Naptr>)> {
+        let owner = self.read_name()?;
+        let (kind, class, ttl) = (self.read_u16()?, self.read_u16()?, self.read_u32()?);
+        let length = usize::from(self.read_u16()?);
+        let end = self.position + length;
+        self.bytes.get(self.position..end)?;
         let naptr = if kind == NAPTR {
-            let mut inner = Reader { bytes: &self.bytes[..end], at: self.at };
+            let mut inner = Reader { bytes: &self.bytes[..end], position: self.position };
             let record = Naptr {
                 ttl,
-                order: inner.short()?,
-                preference: inner.short()?,
-                flags: inner.string()?,
-                services: inner.string()?,
-                regexp: inner.string()?,
-                replacement: inner.name()?,
+                order: inner.read_u16()?,
+                preference: inner.read_u16()?,
+                flags: inner.read_string()?,
+                services: inner.read_string()?,
+                regexp: inner.read_string()?,
+                replacement: inner.read_name()?,
             };
-            (inner.at == end).then_some(record)?.into()
+            (inner.position == end).then_some(record)?.into()
         } else {
             None
         };
-        self.at = end;
+        self.position = end;
         Some((owner, kind, class, naptr))
     }
 }
 
-/// The id of something that may be no more than a header.
-pub fn id_of(bytes: &[u8]) -> Option<(u16, bool)> {
-    (bytes.len() >= HEAD).then(|| (u16::from_be_bytes([bytes[0], bytes[1]]), bytes[2] & 0x80 != 0))
+/// Returns the id and whether the QR bit marks a response, for a message of which only the header need be
+/// valid.
+pub fn decode_header(bytes: &[u8]) -> Option<(u16, bool)> {
+    (bytes.len() >= HEADER_BYTES).then(|| (u16::from_be_bytes([bytes[0], bytes[1]]), bytes[2] & 0x80 != 0))
 }
 
-/// Reads a message; `None` if it is none.
-pub fn read(bytes: &[u8]) -> Option<Message> {
-    let mut reader = Reader { bytes, at: 0 };
-    let (id, flags) = (reader.short()?, reader.short()?);
-    let (questions, answers) = (reader.short()?, reader.short()?);
-    let (authority, additional) = (reader.short()?, reader.short()?);
+/// Decodes a message; returns `None` if it is not valid.
+pub fn decode(bytes: &[u8]) -> Option<Message> {
+    let mut reader = Reader { bytes, position: 0 };
+    let (id, flags) = (reader.read_u16()?, reader.read_u16()?);
+    let (questions, answers) = (reader.read_u16()?, reader.read_u16()?);
+    let (authority, additional) = (reader.read_u16()?, reader.read_u16()?);
     if questions > 1 {
         return None;
     }
     let question = match questions {
         0 => None,
-        _ => Some((reader.name()?, reader.short()?, reader.short()?)),
+        _ => Some((reader.read_name()?, reader.read_u16()?, reader.read_u16()?)),
     };
     let mut message = Message {
         id,
-        response: flags & 0x8000 != 0,
+        is_response: flags & 0x8000 != 0,
         opcode: (flags >> 11 & 15) as u8,
-        truncated: flags & 0x0200 != 0,
-        recursion: flags & 0x0100 != 0,
+        is_truncated: flags & 0x0200 != 0,
+        recursion_desired: flags & 0x0100 != 0,
         rcode: (flags & 15) as u8,
         question,
         records: Vec::new(),
-        room: PLAIN,
-        edns: false,
+        max_response_bytes: MAX_RESPONSE_BYTES,
+        has_edns: false,
     };
     let sections = [usize::from(answers), usize::from(authority), usize::from(additional)];
     for (section, count) in sections.into_iter().enumerate() {
-        if count > MOST_RECORDS {
+        if count > MAX_RECORDS {
             return None;
         }
         for _ in 0..count {
-            let Some((owner, kind, class, naptr)) = reader.record() else {
-                // What was cut to fit may end in the middle of a record.
-                return message.truncated.then_some(message);
+            let Some((owner, kind, class, naptr)) = reader.read_record() else {
+                // A truncated message may end inside a record.
+                return message.is_truncated.then_some(message);
             };
-            let asked = message.question.as_ref().is_some_and(|q| q.0 == owner);
-            if section == 0 && asked && class == IN {
+            let is_for_question = message.question.as_ref().is_some_and(|q| q.0 == owner);
+            if section == 0 && is_for_question && class == IN {
                 message.records.extend(naptr);
             } else if section == 2 && kind == OPT {
-                message.edns = true;
-                message.room = usize::from(class).clamp(PLAIN, EXTENDED);
+                message.has_edns = true;
+                message.max_response_bytes =
+                    usize::from(class).clamp(MAX_RESPONSE_BYTES, MAX_EDNS_RESPONSE_BYTES);
             }
         }
     }
     Some(message)
 }
 
-/// What can still be read of a message whose records are spoilt: it is marked as cut.
-pub fn read_spoilt(bytes: &[u8]) -> Option<Message> {
-    let mut cut = bytes.to_vec();
-    *cut.get_mut(2)? |= 2;
-    read(&cut)
+/// Decodes what it can of a message with corrupt records; the result is marked as truncated.
+pub fn decode_corrupt(bytes: &[u8]) -> Option<Message> {
+    let mut marked = bytes.to_vec();
+    *marked.get_mut(2)? |= 2;
+    decode(&marked)
 }
 
-fn head(id: u16, flags: u16, counts: [u16; 4]) -> Vec<u8> {
+fn encode_header(id: u16, flags: u16, counts: [u16; 4]) -> Vec<u8> {
     let words = [id, flags, counts[0], counts[1], counts[2], counts[3]];
     words.iter().flat_map(|w| w.to_be_bytes()).collect()
 }
 
-fn opt(out: &mut Vec<u8>) {
+/// Appends an OPT record that announces the largest size accepted.
+fn encode_opt(out: &mut Vec<u8>) {
     out.push(0);
     out.extend(OPT.to_be_bytes());
-    out.extend((EXTENDED as u16).to_be_bytes());
+    out.extend((MAX_EDNS_RESPONSE_BYTES as u16).to_be_bytes());
     out.extend([0; 6]);
 }
 
-/// A query for the NAPTR records of a name.
+/// Encodes a query for the NAPTR records of a name.
 pub fn query(id: u16, name: &Name) -> Vec<u8> {
-    let mut out = head(id, 0x0100, [1, 0, 0, 1]);
-    name.write(&mut out);
+    let mut out = encode_header(id, 0x0100, [1, 0, 0, 1]);
+    name.encode(&mut out);
     out.extend([NAPTR, IN].iter().flat_map(|w| w.to_be_bytes()));
-    opt(&mut out);
+    encode_opt(&mut out);
     out
 }
 
-/// A message as it goes over TCP, its length first (RFC 1035, 4.2.2).
-pub fn framed(message: &[u8]) -> Vec<u8> {
+/// Prefixes a message with its length, as it is sent over TCP (RFC 1035, section 4.2.2).
+pub fn with_length_prefix(message: &[u8]) -> Vec<u8> {
     let mut out = (message.len() as u16).to_be_bytes().to_vec();
     out.extend_from_slice(message);
     out
 }
 
-/// Whether a query is one that is served, or with which code it is answered.
+/// Checks that a query asks for the NAPTR records of a number in `zone`, and returns the name it asks for.
 ///
 /// # Errors
-/// The response code to answer with.
-pub fn served(message: &Message, zone: &Name) -> Result<Name, u8> {
+/// The response code with which to answer any other query.
+pub fn validate_query(message: &Message, zone: &Name) -> Result<Name, u8> {
     if message.opcode != 0 {
         return Err(NOTIMP);
     }
@@ -325,17 +335,18 @@
     if *class != IN || *kind != NAPTR || !name.is_under(zone) {
         return Err(REFUSED);
     }
-    name.number(zone).map(|_| name.clone()).ok_or(NXDOMAIN)
+    name.e164_number(zone).map(|_| name.clone()).ok_or(NXDOMAIN)
 }
 
-/// A response with the records that fit; what does not fit is left out and the response marked as cut.
+/// Encodes a response. Records that exceed the maximum response size are omitted, and the response is then
+/// marked as truncated.
 pub fn response(to: &Message, rcode: u8, records: &[Naptr]) -> Vec<u8> {
-    let mut out = head(to.id, 0, [u16::from(to.question.is_some()), 0, 0, u16::from(to.edns)]);
+    let mut out = encode_header(to.id, 0, [u16::from(to.question.is_some()), 0, 0, u16::from(to.has_edns)]);
     if let Some((name, kind, class)) = &to.question {
-        name.write(&mut out);
+        name.encode(&mut out);
         out.extend([*kind, *class].iter().flat_map(|w| w.to_be_bytes()));
     }
-    let room = to.room - if to.edns { 11 } else { 0 };
+    let available = to.max_response_bytes - if to.has_edns { 11 } else { 0 };
     let (mut count, mut truncated) = (0u16, false);
     for record in records {
         let mut data =
@@ -344,65 +355,67 @@
             data.push(text.len() as u8);
             data.extend_from_slice(text);
         }
-        record.replacement.write(&mut data);
-        if out.len() + 12 + data.len() > room {
+        record.replacement.encode(&mut data);
+        if out.len() + 12 + data.len() > available {
             truncated = true;
             break;
         }
-        out.extend([0xc0, HEAD as u8]); // the question's name
+        out.extend([0xc0, HEADER_BYTES as u8]); // pointer to the name in the question
         out.extend([NAPTR, IN].iter().flat_map(|w| w.to_be_bytes()));
         out.extend(record.ttl.to_be_bytes());
         out.extend((data.len() as u16).to_be_bytes());
         out.extend(data);
         count += 1;
     }
-    if to.edns {
-        opt(&mut out);
+    if to.has_edns {
+        encode_opt(&mut out);
     }
     let mut flags = 0x8080 | u16::from(rcode & 15) | u16::from(to.opcode) << 11;
-    flags |= if truncated { 0x0200 } else { 0 } | if to.recursion { 0x0100 } else { 0 };
+    flags |= if truncated { 0x0200 } else { 0 } | if to.recursion_desired { 0x0100 } else { 0 };
     out[2..4].copy_from_slice(&flags.to_be_bytes());
     out[6..8].copy_from_slice(&count.to_be_bytes());
     out
 }
 
-/// The answer to what has a header and is otherwise no message.
-pub fn formerr(id: u16) -> Vec<u8> {
-    head(id, 0x8000 | u16::from(FORMERR), [0, 0, 0, 0])
+/// Encodes the response to a message of which only the header is valid.
+pub fn format_error_response(id: u16) -> Vec<u8> {
+    encode_header(id, 0x8000 | u16::from(FORMERR), [0, 0, 0, 0])
 }
 
-/// What a number's records lead to.
+/// Result of applying a NAPTR record to a number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Lead {
-    /// A URI.
+pub enum Target {
+    /// URI given by a terminal record.
     Uri(String),
-    /// Another name whose records say more (a non-terminal record).
-    On(Name),
+    /// Name at which the look-up continues, given by a non-terminal record.
+    Name(Name),
 }
 
-/// The leads of a number's records, the best first: by order, then by preference (RFC 6116, 3.4).
-pub fn leads(records: &[Naptr], number: &str) -> Vec<Lead> {
+/// Returns the targets of a number's usable records, sorted by order and then by preference (RFC 6116,
+/// section 3.4).
+pub fn targets(records: &[Naptr], number: &str) -> Vec<Target> {
     let mut sorted: Vec<&Naptr> = records.iter().collect();
     sorted.sort_by_key(|r| (r.order, r.preference));
-    sorted.into_iter().filter_map(|r| lead(r, number)).collect()
+    sorted.into_iter().filter_map(|r| target(r, number)).collect()
 }
 
-fn lead(record: &Naptr, number: &str) -> Option<Lead> {
+fn target(record: &Naptr, number: &str) -> Option<Target> {
     if record.flags.is_empty() {
-        // Exactly one of the two leads on.
-        let on = !record.replacement.is_root() && record.regexp.is_empty();
-        return on.then(|| Lead::On(record.replacement.clone()));
+        // A usable non-terminal record has a replacement and no expression.
+        let has_replacement = !record.replacement.is_root() && record.regexp.is_empty();
+        return has_replacement.then(|| Target::Name(record.replacement.clone()));
     }
     let services = std::str::from_utf8(&record.services).ok()?.to_ascii_lowercase();
     let mut parts = services.split('+');
-    let sip = parts.next() == Some("e2u") && parts.any(|s| s.split(':').next() == Some("sip"));
-    if !sip || !record.flags.eq_ignore_ascii_case(b"u") {
+    let is_sip = parts.next() == Some("e2u") && parts.any(|s| s.split(':').next() == Some("sip"));
+    if !is_sip || !record.flags.eq_ignore_ascii_case(b"u") {
         return None;
     }
-    substitute(std::str::from_utf8(&record.regexp).ok()?, number).map(Lead::Uri)
+    substitute(std::str::from_utf8(&record.regexp).ok()?, number).map(Target::Uri)
 }
 
-/// Applies a NAPTR's substitution expression (RFC 3402, 3.2): its first character is the delimiter.
+/// Applies a substitution expression to a number (RFC 3402, section 3.2). The first character of the
+/// expression is its delimiter.
 fn substitute(expression: &str, number: &str) -> Option<String> {
     let delimiter = expression.chars().next().filter(|c| !c.is_ascii_digit() && !matches!(c, '\\' | 'i'))?;
     let mut parts = vec![String::new()];
@@ -419,36 +432,37 @@
         }
     }
     let [pattern, replacement, flags] = parts.try_into().ok()?;
-    let insensitive = match flags.as_str() {
+    let is_case_insensitive = match flags.as_str() {
         "" => false,
         "i" => true,
         _ => return None,
     };
-    // Guards memory and time against a server's expression that repeats itself a million times.
-    let found = regex_lite::RegexBuilder::new(&pattern)
-        .case_insensitive(insensitive)
-        .size_limit(LARGEST_EXPRESSION)
+    // A server may send an expression with nested repetitions that would take excessive memory and time to
+    // compile.
+    let regex = regex_lite::RegexBuilder::new(&pattern)
+        .case_insensitive(is_case_insensitive)
+        .size_limit(MAX_EXPRESSION_BYTES)
         .build()
         .ok()?;
-    let groups = found.captures(number)?;
-    let whole = groups.get(0)?;
-    let mut uri = number[..whole.start()].to_owned();
+    let captures = regex.captures(number)?;
+    let matched = captures.get(0)?;
+    let mut uri = number[..matched.start()].to_owned();
     let mut chars = replacement.chars();
     while let Some(c) = chars.next() {
         match c {
             '\\' => match chars.next()? {
-                d @ '1'..='9' => uri.push_str(groups.get(d as usize - '0' as usize)?.as_str()),
+                d @ '1'..='9' => uri.push_str(captures.get(d as usize - '0' as usize)?.as_str()),
                 other => uri.push(other),
             },
             c => uri.push(c),
         }
     }
-    uri.push_str(&number[whole.end()..]);
+    uri.push_str(&number[matched.end()..]);
     Some(uri)
 }
 
-/// The host of a SIP address.
-pub fn host_of(uri: &str) -> Option<&str> {
+/// Returns the host of a `sip:` or `sips:` URI.
+pub fn sip_uri_host(uri: &str) -> Option<&str> {
     let scheme = uri.get(..4).filter(|s| s.eq_ignore_ascii_case("sip:"));
     let rest = scheme
         .map(|_| &uri[4..])
--- a/src/protocol/vrrp.rs
+++ b/src/protocol/vrrp.rs
@@ -1,55 +1,55 @@
-//! VRRP version 3 (RFC 9568), its advertisements carried over UDP.
+//! VRRP version 3 (RFC 9568), with the advertisements carried over UDP.
 //!
-//! Where the RFC compares primary IPv4 addresses, the socket addresses are compared here. The check on
-//! the IP time to live has no meaning over UDP and is left out.
+//! Socket addresses are compared where the RFC compares primary IPv4 addresses. The check of the IP time to
+//! live is omitted, because it has no meaning over UDP.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Priority of the address owner.
-const OWNER: u8 = 255;
+/// Priority of the router that owns the addresses.
+const OWNER_PRIORITY: u8 = 255;
 const CENTISECOND: Duration = Duration::from_millis(10);
 
-/// How a virtual router is set up.
+/// Configuration of a virtual router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Config {
-    /// Virtual router, 1 to 255.
+    /// Virtual router identifier (VRID), 1 to 255.
     pub vrid: u8,
-    /// 1 to 254; 255 for the owner of the addresses.
+    /// Priority, 1 to 254, or 255 for the owner of the addresses.
     pub priority: u8,
     /// Advertisement interval in centiseconds, 1 to 4095.
-    pub interval: u16,
-    /// A higher priority takes over from a lower one.
+    pub interval_cs: u16,
+    /// Whether a backup takes over from an active router of lower priority.
     pub preempt: bool,
-    /// The addresses that are backed up.
+    /// Addresses of the virtual router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
 /// State of a virtual router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// Not started, or shut down.
+    /// Not started, or stopped.
     Initialize,
-    /// Another router is active.
+    /// Ready to take over from the active router.
     Backup,
-    /// This router serves.
+    /// Responsible for the addresses of the virtual router.
     Active,
 }
 
-/// An advertisement.
+/// An advertisement message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Advertisement {
-    /// Virtual router.
+    /// Virtual router identifier (VRID).
     pub vrid: u8,
-    /// The sender's priority; 0: it stops.
+    /// Priority of the sender; 0 if it stops taking part.
     pub priority: u8,
-    /// Its interval in centiseconds.
-    pub interval: u16,
-    /// The addresses that it backs up.
+    /// Advertisement interval of the sender in centiseconds.
+    pub interval_cs: u16,
+    /// Addresses of the virtual router.
     pub addresses: Vec<Ipv4Addr>,
 }
 
-/// One's complement of the one's complement sum (RFC 1071).
+/// Returns the Internet checksum (RFC 1071).
 fn checksum(bytes: &[u8]) -> u16 {
     let word = |pair: &[u8]| u32::from(pair[0]) << 8 | u32::from(pair.get(1).copied().unwrap_or(0));
     let mut sum: u32 = bytes.chunks(2).map(word).sum();
@@ -60,10 +60,10 @@
 }
 
 impl Advertisement {
-    /// Writes it (RFC 9568, 5.1).
+    /// Encodes the advertisement (RFC 9568, section 5.1).
     pub fn encode(&self) -> Vec<u8> {
         let mut out = vec![0x31, self.vrid, self.priority, self.addresses.len() as u8];
-        out.extend((self.interval & 0x0fff).to_be_bytes());
+        out.extend((self.interval_cs & 0x0fff).to_be_bytes());
         out.extend([0, 0]);
         self.addresses.iter().for_each(|a| out.extend(a.octets()));
         let sum = checksum(&out);
@@ -71,10 +71,10 @@
         out
     }
 
-    /// Reads and checks one (RFC 9568, 7.1).
+    /// Decodes and checks an advertisement (RFC 9568, section 7.1).
     ///
     /// # Errors
-    /// Says which check it fails.
+    /// Names the check that failed.
     pub fn decode(bytes: &[u8]) -> Result<Self, &'static str> {
         if bytes.len() < 8 {
             return Err("too short");
@@ -96,133 +96,138 @@
         Ok(Self {
             vrid: bytes[1],
             priority: bytes[2],
-            interval: u16::from_be_bytes([bytes[4] & 15, bytes[5]]),
+            interval_cs: u16::from_be_bytes([bytes[4] & 15, bytes[5]]),
             addresses: bytes[8..].chunks_exact(4).map(address).collect(),
         })
     }
 }
 
-/// The state machine of one virtual router (RFC 9568, 6.4); it is fed the time.
+/// The state machine of one virtual router (RFC 9568, section 6.4). Every method that may act takes the
+/// current time.
 #[derive(Debug)]
 pub struct Router {
     config: Config,
-    me: SocketAddr,
+    local_address: SocketAddr,
     state: State,
-    /// Interval of the active router, in centiseconds.
-    active_interval: u16,
-    /// The advertisement timer when active, the active-down timer in backup.
-    due: Option<Duration>,
+    /// Advertisement interval of the active router in centiseconds.
+    active_interval_cs: u16,
+    /// Expiry of the advertisement timer when active, of the active-down timer in backup.
+    timer_expiry: Option<Duration>,
 }
 
 impl Router {
-    /// A router that has not started.
-    pub fn new(config: Config, me: SocketAddr) -> Self {
-        let active_interval = config.interval;
-        Self { config, me, state: State::Initialize, active_interval, due: None }
+    /// Creates a router that has not started.
+    pub fn new(config: Config, local_address: SocketAddr) -> Self {
+        let active_interval_cs = config.interval_cs;
+        Self { config, local_address, state: State::Initialize, active_interval_cs, timer_expiry: None }
     }
 
-    /// Its state.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Takes up priority, interval and preemption while it runs. State and timer are kept: an active router
-    /// stays so, and its next advertisement brings the change.
+    /// Applies a new priority, interval and preemption mode. The state and the timer are kept: an active
+    /// router stays active, and its next advertisement carries the change.
     pub fn reload(&mut self, config: &Config) {
-        let Config { priority, interval, preempt, .. } = *config;
+        let Config { priority, interval_cs, preempt, .. } = *config;
         let (vrid, addresses) = (self.config.vrid, std::mem::take(&mut self.config.addresses));
-        self.config = Config { vrid, priority, interval, preempt, addresses };
+        self.config = Config { vrid, priority, interval_cs, preempt, addresses };
     }
 
-    /// When [`Router::tick`] is due.
-    pub fn due(&self) -> Option<Duration> {
-        self.due
+    /// Returns the time at which [`Router::on_timer`] must be called.
+    pub fn next_due(&self) -> Option<Duration> {
+        self.timer_expiry
     }
 
-    fn skew(&self) -> Duration {
-        CENTISECOND * u32::from(self.active_interval) * (256 - u32::from(self.config.priority)) / 256
+    fn skew_time(&self) -> Duration {
+        CENTISECOND * u32::from(self.active_interval_cs) * (256 - u32::from(self.config.priority)) / 256
     }
 
-    fn down_interval(&self) -> Duration {
-        3 * CENTISECOND * u32::from(self.active_interval) + self.skew()
+    fn active_down_interval(&self) -> Duration {
+        3 * CENTISECOND * u32::from(self.active_interval_cs) + self.skew_time()
     }
 
+    /// Returns an encoded advertisement and restarts the advertisement timer.
     fn advertise(&mut self, now: Duration, priority: u8) -> Vec<u8> {
-        self.due = Some(now + CENTISECOND * u32::from(self.config.interval));
-        let (vrid, interval) = (self.config.vrid, self.config.interval);
-        Advertisement { vrid, priority, interval, addresses: self.config.addresses.clone() }.encode()
+        self.timer_expiry = Some(now + CENTISECOND * u32::from(self.config.interval_cs));
+        let (vrid, interval_cs) = (self.config.vrid, self.config.interval_cs);
+        Advertisement { vrid, priority, interval_cs, addresses: self.config.addresses.clone() }.encode()
     }
 
-    fn back_up(&mut self, now: Duration, interval: u16) {
-        (self.state, self.active_interval) = (State::Backup, interval);
-        self.due = Some(now + self.down_interval());
+    /// Enters the Backup state, or stays in it, and restarts the active-down timer.
+    fn become_backup(&mut self, now: Duration, interval_cs: u16) {
+        (self.state, self.active_interval_cs) = (State::Backup, interval_cs);
+        self.timer_expiry = Some(now + self.active_down_interval());
     }
 
-    /// Starts; what it returns is to be sent.
+    /// Starts the router; returns an advertisement to send, if any.
     pub fn start(&mut self, now: Duration) -> Option<Vec<u8>> {
-        if self.config.priority == OWNER {
+        if self.config.priority == OWNER_PRIORITY {
             self.state = State::Active;
-            return Some(self.advertise(now, OWNER));
+            return Some(self.advertise(now, OWNER_PRIORITY));
         }
-        self.back_up(now, self.config.interval);
+        self.become_backup(now, self.config.interval_cs);
         None
     }
 
-    /// A timer may have fired.
-    pub fn tick(&mut self, now: Duration) -> Option<Vec<u8>> {
-        self.due.filter(|due| *due <= now)?;
+    /// Handles the timer if it has expired; returns an advertisement to send, if any.
+    pub fn on_timer(&mut self, now: Duration) -> Option<Vec<u8>> {
+        self.timer_expiry.filter(|expiry| *expiry <= now)?;
         self.state = State::Active;
         Some(self.advertise(now, self.config.priority))
     }
 
-    /// Stops; an active router says so, and the others need not wait for its silence.
+    /// Stops the router. An active router returns a last advertisement with priority 0, so that a backup
+    /// takes over without waiting for the active-down timer.
     pub fn stop(&mut self, now: Duration) -> Option<Vec<u8>> {
-        let last = (self.state == State::Active).then(|| self.advertise(now, 0));
-        (self.state, self.due) = (State::Initialize, None);
-        last
+        let final_advertisement = (self.state == State::Active).then(|| self.advertise(now, 0));
+        (self.state, self.timer_expiry) = (State::Initialize, None);
+        final_advertisement
     }
 
-    /// A datagram from another router.
+    /// Handles a datagram from another router; returns an advertisement to send, if any.
     ///
     /// # Errors
-    /// Says why it was discarded.
-    pub fn hear(
+    /// Names the reason for which the datagram was discarded.
+    pub fn receive(
         &mut self,
         now: Duration,
         from: SocketAddr,
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, &'static str> {
-        let heard = Advertisement::decode(bytes)?;
-        if heard.vrid != self.config.vrid {
+        let received = Advertisement::decode(bytes)?;
+        if received.vrid != self.config.vrid {
             return Err("another virtual router");
         }
-        if heard.interval == 0 {
-            return Err("no interval");
+        if received.interval_cs == 0 {
+            return Err("advertisement interval is 0");
         }
-        if heard.priority == OWNER && self.config.priority == OWNER {
+        if received.priority == OWNER_PRIORITY && self.config.priority == OWNER_PRIORITY {
             return Err("two owners of the addresses");
         }
-        let mine = self.config.priority;
+        let own_priority = self.config.priority;
         match self.state {
             State::Initialize => Ok(None),
-            State::Backup if heard.priority == 0 => {
-                self.due = Some(now + self.skew());
+            State::Backup if received.priority == 0 => {
+                self.timer_expiry = Some(now + self.skew_time());
                 Ok(None)
             }
             State::Backup => {
-                if !self.config.preempt || heard.priority >= mine {
-                    self.back_up(now, heard.interval);
+                if !self.config.preempt || received.priority >= own_priority {
+                    self.become_backup(now, received.interval_cs);
                 }
                 Ok(None)
             }
-            State::Active if heard.priority == 0 => Ok(Some(self.advertise(now, mine))),
+            State::Active if received.priority == 0 => Ok(Some(self.advertise(now, own_priority))),
             State::Active => {
-                let higher = heard.priority > mine || (heard.priority == mine && from > self.me);
-                if higher {
-                    self.back_up(now, heard.interval);
+                let has_precedence = received.priority > own_priority
+                    || (received.priority == own_priority && from > self.local_address);
+                if has_precedence {
+                    self.become_backup(now, received.interval_cs);
                     return Ok(None);
                 }
-                Ok(Some(self.advertise(now, mine)))
+                Ok(Some(self.advertise(now, own_priority)))
             }
         }
     }
--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use harness::*;
-use quartzspindle::protocol::dns::{self, Lead, Message, Name, Naptr};
+use quartzspindle::protocol::dns::{self, Message, Name, Naptr, Target};
 use quartzspindle::protocol::vrrp::{Advertisement, Config, Router as Virtual, State};
 use rstest::rstest;
 use serde_json::{json, Value};
@@ -21,7 +21,7 @@
 
 fn naptr(order: u16, preference: u16, flags: &str, services: &str, regexp: &str) -> Naptr {
     let replacement =
-        dns::read(&[0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 35, 0, 1]).unwrap().question.unwrap().0;
+        dns::decode(&[0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 35, 0, 1]).unwrap().question.unwrap().0;
     let (flags, services, regexp) = (flags.into(), services.into(), regexp.into());
     Naptr { ttl: 60, order, preference, flags, services, regexp, replacement }
 }
@@ -45,7 +45,7 @@
         let mut buffer = [0; 1500];
         for n in 0.. {
             let Ok((length, from)) = socket.recv_from(&mut buffer) else { return };
-            let query = dns::read(&buffer[..length]).unwrap();
+            let query = dns::decode(&buffer[..length]).unwrap();
             match behave(n) {
                 Does::Drop => {}
                 Does::Answer(rcode, records) => {
@@ -82,7 +82,7 @@
     socket.send_to(&dns::query(id, &name(name_text)), to).unwrap();
     let mut buffer = [0; 1500];
     let length = socket.recv(&mut buffer).unwrap();
-    dns::read(&buffer[..length]).unwrap()
+    dns::decode(&buffer[..length]).unwrap()
 }
 
 const NUMBER: &str = "5.4.3.2.1.6.8.3.e164.arpa";
@@ -114,7 +114,7 @@
     let mut router = Router::start(&with_enum(&[], &[server(behave)], &json!({})));
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     let answer = ask(&socket, to, 7, NUMBER);
-    assert!(answer.response && answer.id == 7);
+    assert!(answer.is_response && answer.id == 7);
     assert_eq!((answer.rcode, answer.records.len()), (rcode, records));
     socket.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     assert!(socket.recv(&mut [0; 100]).is_err(), "a second answer");
@@ -170,10 +170,10 @@
             stream.read_exact(&mut length).unwrap();
             let mut query = vec![0; usize::from(u16::from_be_bytes(length))];
             stream.read_exact(&mut query).unwrap();
-            let mut query = dns::read(&query).unwrap();
-            query.room = 60_000;
+            let mut query = dns::decode(&query).unwrap();
+            query.max_response_bytes = 60_000;
             let records: Vec<Naptr> = (0..40).map(|_| to_place(1)).collect();
-            let _ = stream.write_all(&spoil(dns::framed(&dns::response(&query, 0, &records))));
+            let _ = stream.write_all(&spoil(dns::with_length_prefix(&dns::response(&query, 0, &records))));
         }
     });
     address
@@ -215,7 +215,7 @@
     assert_eq!(ask(&bind_resolver(), to, 2, NUMBER).records, vec![to_place(2)]);
     let mut buffer = [0; 1500];
     let length = socket.recv(&mut buffer).unwrap();
-    assert_eq!(dns::read(&buffer[..length]).unwrap().records, vec![to_place(1)]);
+    assert_eq!(dns::decode(&buffer[..length]).unwrap().records, vec![to_place(1)]);
 }
 
 /// A planned restart: what is in hand and what still comes is answered, then the program ends.
@@ -245,7 +245,7 @@
     let mut buffer = [0; 1500];
     for _ in 0..6 {
         let length = socket.recv(&mut buffer).unwrap();
-        assert_eq!(dns::read(&buffer[..length]).unwrap().rcode, dns::SERVFAIL, "six of twelve are in hand");
+        assert_eq!(dns::decode(&buffer[..length]).unwrap().rcode, dns::SERVFAIL, "six of twelve are in hand");
     }
     let other = UdpSocket::bind("127.0.0.2:0").unwrap();
     other.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -256,7 +256,7 @@
 #[test]
 fn a_monstrous_expression_leads_nowhere() {
     let record = naptr(1, 1, "u", "E2U+sip", "!^((.{200}){200}){200}$!sip:a@place1.example!");
-    assert_eq!(dns::leads(&[record], "+1"), vec![]);
+    assert_eq!(dns::targets(&[record], "+1"), vec![]);
 }
 
 #[rstest]
@@ -268,7 +268,7 @@
     assert_eq!(ask(&socket, to, 9, asked).rcode, rcode);
     // Garbage with a header gets FORMERR, what is a response or less than a header gets nothing.
     socket.send_to(&[1; 5], to).unwrap();
-    socket.send_to(&dns::response(&dns::read(&dns::query(1, &name(NUMBER))).unwrap(), 0, &[]), to).unwrap();
+    socket.send_to(&dns::response(&dns::decode(&dns::query(1, &name(NUMBER))).unwrap(), 0, &[]), to).unwrap();
     socket.send_to(&[0, 9, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0xc0, 0x0c, 0, 35, 0, 1], to).unwrap();
     let mut buffer = [0; 100];
     let length = socket.recv(&mut buffer).unwrap();
@@ -390,7 +390,7 @@
     let mut message = vec![0, 1, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0];
     message.extend_from_slice(bytes);
     message.extend([0, 35, 0, 1]);
-    assert_eq!(dns::read(&message), None);
+    assert_eq!(dns::decode(&message), None);
 }
 
 #[test]
@@ -401,8 +401,8 @@
     bytes[7] = 1;
     bytes[11] = 0;
     bytes.extend([0xc0, 0x0c, 0, 35, 0, 1, 0, 0, 0, 60, 0, 9, 0, 1, 0, 2, 0, 0, 0, 0xc0, 0x0c]);
-    let message = dns::read(&bytes).unwrap();
-    assert_eq!(dns::leads(&message.records, "+1"), vec![Lead::On(name(NUMBER))]);
+    let message = dns::decode(&bytes).unwrap();
+    assert_eq!(dns::targets(&message.records, "+1"), vec![Target::Name(name(NUMBER))]);
 }
 
 #[test]
@@ -417,20 +417,20 @@
         naptr(10, 5, "u", "E2U+pres+sip", "#^\\+386(1)#SIP:\\1\\#x@FIRST.example:5060;a=b#i"),
     ];
     let uris = ["SIP:1#x@FIRST.example:5060;a=b2345", "sip:12345@second.example", "sip:third@example"];
-    let leads = dns::leads(&records, "+38612345");
-    assert_eq!(leads, uris.map(|u| Lead::Uri(u.to_owned())));
-    assert_eq!(dns::host_of(uris[0]), Some("FIRST.example"));
+    let leads = dns::targets(&records, "+38612345");
+    assert_eq!(leads, uris.map(|u| Target::Uri(u.to_owned())));
+    assert_eq!(dns::sip_uri_host(uris[0]), Some("FIRST.example"));
 }
 
 // ---- VRRP --------------------------------------------------------------------------------------
 
 fn setup(priority: u8, preempt: bool) -> Config {
-    Config { vrid: 7, priority, interval: 100, preempt, addresses: vec![[10, 0, 0, 1].into()] }
+    Config { vrid: 7, priority, interval_cs: 100, preempt, addresses: vec![[10, 0, 0, 1].into()] }
 }
 
 fn advert(priority: u8) -> Vec<u8> {
     let addresses = vec![[10, 0, 0, 1].into()];
-    Advertisement { vrid: 7, priority, interval: 100, addresses }.encode()
+    Advertisement { vrid: 7, priority, interval_cs: 100, addresses }.encode()
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -446,13 +446,13 @@
     let mut router = Virtual::new(setup(128, true), address(5));
     assert_eq!(router.state(), State::Initialize);
     assert_eq!(router.start(ms(0)), None);
-    assert_eq!((router.state(), router.due()), (State::Backup, Some(ms(3500))));
-    router.hear(ms(1000), address(9), &advert(128)).unwrap();
-    assert_eq!(router.tick(ms(4499)), None);
-    assert_eq!(router.tick(ms(4500)), Some(advert(128)));
-    assert_eq!((router.state(), router.due()), (State::Active, Some(ms(5500))));
+    assert_eq!((router.state(), router.next_due()), (State::Backup, Some(ms(3500))));
+    router.receive(ms(1000), address(9), &advert(128)).unwrap();
+    assert_eq!(router.on_timer(ms(4499)), None);
+    assert_eq!(router.on_timer(ms(4500)), Some(advert(128)));
+    assert_eq!((router.state(), router.next_due()), (State::Active, Some(ms(5500))));
     assert_eq!(router.stop(ms(5000)), Some(advert(0)));
-    assert_eq!((router.state(), router.due()), (State::Initialize, None));
+    assert_eq!((router.state(), router.next_due()), (State::Initialize, None));
 }
 
 #[rstest]
@@ -464,8 +464,8 @@
     let mut router = Virtual::new(setup(128, preempt), address(5));
     router.start(ms(0));
     let at = if priority == 0 { ms(0) } else { ms(1000) };
-    assert_eq!(router.hear(at, address(9), &advert(priority)), Ok(None));
-    assert_eq!((router.state(), router.due()), (state, Some(ms(due))));
+    assert_eq!(router.receive(at, address(9), &advert(priority)), Ok(None));
+    assert_eq!((router.state(), router.next_due()), (state, Some(ms(due))));
 }
 
 #[rstest]
@@ -477,8 +477,8 @@
 fn an_active_router_hears(#[case] priority: u8, #[case] port: u16, #[case] state: State) {
     let mut router = Virtual::new(setup(128, true), address(5));
     router.start(ms(0));
-    router.tick(ms(3500));
-    let reply = router.hear(ms(3600), address(port), &advert(priority)).unwrap();
+    router.on_timer(ms(3500));
+    let reply = router.receive(ms(3600), address(port), &advert(priority)).unwrap();
     assert_eq!((router.state(), reply.is_some()), (state, state == State::Active));
 }
 
@@ -499,10 +499,11 @@
     bytes[at] = byte;
     let mut router = Virtual::new(setup(128, true), address(5));
     router.start(ms(0));
-    assert_eq!(router.hear(ms(1), address(9), &bytes), Err(why));
-    assert_eq!(router.hear(ms(1), address(9), &bytes[..5]), Err("too short"));
-    let other = Advertisement { vrid: 8, priority: 1, interval: 100, addresses: vec![[10, 0, 0, 1].into()] };
-    assert_eq!(router.hear(ms(1), address(9), &other.encode()), Err("another virtual router"));
+    assert_eq!(router.receive(ms(1), address(9), &bytes), Err(why));
+    assert_eq!(router.receive(ms(1), address(9), &bytes[..5]), Err("too short"));
+    let other =
+        Advertisement { vrid: 8, priority: 1, interval_cs: 100, addresses: vec![[10, 0, 0, 1].into()] };
+    assert_eq!(router.receive(ms(1), address(9), &other.encode()), Err("another virtual router"));
 }
 
 /// Two routers, their advertisements carried by the test: only the active one answers look-ups.
--- a/tests/protocols.rs
+++ b/tests/protocols.rs
@@ -91,7 +91,8 @@
 fn no_garbled_input_panics() {
     let query = dns::query(1, &dns::Name::parse("1.2.3.e164.arpa").unwrap());
     let advertisement =
-        Advertisement { vrid: 1, priority: 1, interval: 1, addresses: vec![[10, 0, 0, 1].into()] }.encode();
+        Advertisement { vrid: 1, priority: 1, interval_cs: 1, addresses: vec![[10, 0, 0, 1].into()] }
+            .encode();
     let mut rng = fastrand::Rng::with_seed(7);
     let (mut read, mut failed) = (0, 0);
     for sample in [INVITE.to_vec(), LINES.to_vec(), frames(), query, advertisement] {
@@ -118,7 +119,7 @@
                 std::iter::from_fn(|| sip.next_message().transpose()).take(9).any(|r| r.is_err()),
                 std::iter::from_fn(|| lines.next_message().transpose()).take(9).any(|r| r.is_err()),
                 std::iter::from_fn(|| frames.next_frame().transpose()).take(9).any(|r| r.is_err()),
-                dns::read(&bytes).is_none(),
+                dns::decode(&bytes).is_none(),
                 Advertisement::decode(&bytes).is_err(),
             ];
             failed += ends.iter().filter(|e| **e).count();
