--- a/src/call/calls.rs
+++ b/src/call/calls.rs
@@ -59,12 +59,12 @@
 impl Calls {
     /// Ends a call: it is out of hand, and its id is remembered for a while.
     pub fn end(&mut self, id: &CallId, now: Duration) -> Option<Call> {
-        self.remember(id, now);
+        self.mark_ended(id, now);
         self.open.remove(id)
     }
 
     /// Remembers an id as over.
-    pub fn remember(&mut self, id: &CallId, now: Duration) {
+    pub fn mark_ended(&mut self, id: &CallId, now: Duration) {
         self.over.insert(id.clone(), now);
         self.order.push_back((now, id.clone()));
         while self.order.len() > MOST_REMEMBERED
@@ -78,7 +78,7 @@
     }
 
     /// Whether the id was in hand and is over.
-    pub fn is_over(&self, id: &CallId) -> bool {
+    pub fn has_ended(&self, id: &CallId) -> bool {
         self.over.contains_key(id)
     }
 
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -16,9 +16,9 @@
 use crate::Controller;
 
 /// Normal clearing (Q.850).
-pub const CLEARED: u32 = 16;
+pub const CAUSE_NORMAL_CLEARING: u32 = 16;
 /// Temporary failure (Q.850): the call was cut.
-pub const CUT: u32 = 41;
+pub const CAUSE_TEMPORARY_FAILURE: u32 = 41;
 
 /// A request, as a front hands it over.
 #[derive(Debug, Clone)]
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub enum Effect {
     /// Send a set-up.
-    Start {
+    SendSetUp {
         /// To this exchange.
         exchange: ExchangeId,
         /// The call.
@@ -66,7 +66,7 @@
         description: Arc<str>,
     },
     /// Give up a set-up, or release a call, at an exchange.
-    Finish {
+    ReleaseAtExchange {
         /// At this exchange; `None`: wherever it stands.
         exchange: Option<ExchangeId>,
         /// The call.
@@ -100,7 +100,7 @@
         call: CallId,
     },
     /// A call that stood is over; its client is to be told.
-    Release {
+    ReleaseAtClient {
         /// Where its request came from, if that is known.
         origin: Option<Origin>,
         /// The call.
@@ -165,7 +165,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Core::wake`] is due next.
+    /// When [`Core::run_due_timers`] is due next.
     pub fn next_due(&self) -> Option<Duration> {
         self.timers.next()
     }
@@ -184,7 +184,7 @@
     }
 
     /// News of the list.
-    pub fn directory(&mut self, now: Duration, kind: ListKind, entries: Vec<Entry>) {
+    pub fn update_directory(&mut self, now: Duration, kind: ListKind, entries: Vec<Entry>) {
         self.at(now);
         let gone = self.exchanges.apply(kind, &entries);
         self.events.push_back(Event::Directory { kind, entries: Arc::new(entries) });
@@ -192,7 +192,7 @@
         // Guards against calls left standing for good: a process that is gone can't release its own. One
         // that has started anew does, on the next connection; what stands there may be new already.
         for exchange in gone {
-            self.cut(now, &exchange);
+            self.reset_calls_at(now, &exchange);
         }
     }
 
@@ -203,21 +203,21 @@
     }
 
     /// Every call that stands at an exchange is over without its word: its process has ended.
-    pub fn cut(&mut self, now: Duration, exchange: &ExchangeId) {
+    pub fn reset_calls_at(&mut self, now: Duration, exchange: &ExchangeId) {
         let at = |c: &Call| c.stands && c.out.as_ref().is_some_and(|a| a.exchange == *exchange);
         let mut cut: Vec<CallId> =
             self.calls.open.iter().filter(|(_, c)| at(c)).map(|(id, _)| id.clone()).collect();
         cut.sort();
         for id in cut {
-            self.reply(now, exchange, &id, ended(Status::Reset));
+            self.handle_reply(now, exchange, &id, ended(Status::Reset));
         }
     }
 
     /// A request: it gets exactly one final answer, or none if its caller goes first.
-    pub fn request(&mut self, now: Duration, request: Request) {
+    pub fn handle_request(&mut self, now: Duration, request: Request) {
         self.at(now);
         let (id, offer) = (request.offer.call.clone(), request.offer);
-        if self.calls.open.contains_key(&id) || self.calls.is_over(&id) {
+        if self.calls.open.contains_key(&id) || self.calls.has_ended(&id) {
             // Guards against a second answer: an id is never reused, so this is the same request again.
             return self.effects.push(Effect::Log(format!("request {} came twice", id.0)));
         }
@@ -245,7 +245,7 @@
     pub fn hang_up(&mut self, now: Duration, id: &CallId, cause: u32) {
         self.at(now);
         let known = self.calls.open.contains_key(id);
-        if !known && self.calls.is_over(id) {
+        if !known && self.calls.has_ended(id) {
             return;
         }
         let call = self.calls.end(id, self.now);
@@ -253,7 +253,7 @@
         if attempt.is_some() || !known {
             // After a restart it is not known where a call stands: every exchange is told.
             let exchange = attempt.as_ref().map(|a| a.exchange.clone());
-            self.effects.push(Effect::Finish { exchange, call: id.clone(), cause });
+            self.effects.push(Effect::ReleaseAtExchange { exchange, call: id.clone(), cause });
         }
         let Some(call) = call else { return };
         if !call.stands {
@@ -266,7 +266,7 @@
     }
 
     /// What an exchange says of a call.
-    pub fn reply(&mut self, now: Duration, exchange: &ExchangeId, id: &CallId, reply: Reply) {
+    pub fn handle_reply(&mut self, now: Duration, exchange: &ExchangeId, id: &CallId, reply: Reply) {
         self.at(now);
         let call = self.calls.open.get_mut(id);
         let current = call.filter(|c| c.out.as_ref().is_some_and(|a| a.exchange == *exchange));
@@ -286,27 +286,33 @@
                 // Guards against circuits held for nobody: the set-up was given up while this answer was
                 // on its way, or belongs to an earlier life of this router.
                 let exchange = Some(exchange.clone());
-                self.effects.push(Effect::Finish { exchange, call: id.clone(), cause: CLEARED });
+                self.effects.push(Effect::ReleaseAtExchange {
+                    exchange,
+                    call: id.clone(),
+                    cause: CAUSE_NORMAL_CLEARING,
+                });
             }
             (Some(call), Reply::Ended { status, cause, report }) => {
                 let Some(attempt) = call.out.take() else { return };
                 let stood = call.stands;
                 if stood {
                     let origin = Some(call.origin);
-                    let cause = if status == Status::Ended { CLEARED } else { CUT };
-                    self.effects.push(Effect::Release { origin, call: id.clone(), cause });
+                    let cause =
+                        if status == Status::Ended { CAUSE_NORMAL_CLEARING } else { CAUSE_TEMPORARY_FAILURE };
+                    self.effects.push(Effect::ReleaseAtClient { origin, call: id.clone(), cause });
                     self.calls.end(id, self.now);
                 }
                 self.note_end(id, &attempt, status, cause, report, stood);
             }
             (None, Reply::Ended { status, report, .. }) => {
                 self.events.push_back(sampled(exchange, report));
-                let known = self.calls.open.contains_key(id) || self.calls.is_over(id);
+                let known = self.calls.open.contains_key(id) || self.calls.has_ended(id);
                 if !known {
                     // It stood before this router's start.
-                    self.calls.remember(id, self.now);
-                    let cause = if status == Status::Ended { CLEARED } else { CUT };
-                    self.effects.push(Effect::Release { origin: None, call: id.clone(), cause });
+                    self.calls.mark_ended(id, self.now);
+                    let cause =
+                        if status == Status::Ended { CAUSE_NORMAL_CLEARING } else { CAUSE_TEMPORARY_FAILURE };
+                    self.effects.push(Effect::ReleaseAtClient { origin: None, call: id.clone(), cause });
                 }
             }
         }
@@ -314,21 +320,21 @@
     }
 
     /// Figures of an exchange that came unasked.
-    pub fn report(&mut self, now: Duration, exchange: &ExchangeId, report: Vec<f64>) {
+    pub fn handle_load_report(&mut self, now: Duration, exchange: &ExchangeId, report: Vec<f64>) {
         self.at(now);
         self.events.push_back(sampled(exchange, report));
         self.run();
     }
 
     /// A message from another controller.
-    pub fn peer(&mut self, now: Duration, from: u32, payload: String) {
+    pub fn handle_peer_message(&mut self, now: Duration, from: u32, payload: String) {
         self.at(now);
         self.events.push_back(Event::Peer { from, payload });
         self.run();
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now: Duration) {
+    pub fn run_due_timers(&mut self, now: Duration) {
         self.at(now);
         while let Some(due) = self.timers.take(self.now) {
             match due {
@@ -374,7 +380,11 @@
 
     fn give_up(&mut self, id: &CallId, attempt: &Attempt) {
         let exchange = Some(attempt.exchange.clone());
-        self.effects.push(Effect::Finish { exchange, call: id.clone(), cause: CLEARED });
+        self.effects.push(Effect::ReleaseAtExchange {
+            exchange,
+            call: id.clone(),
+            cause: CAUSE_NORMAL_CLEARING,
+        });
     }
 
     fn note_end(
@@ -436,7 +446,7 @@
     }
 
     fn send(&mut self, id: &CallId, exchange: ExchangeId, until: Duration) {
-        let known = self.exchanges.knows(&exchange);
+        let known = self.exchanges.is_listed(&exchange);
         let Some(call) = self.calls.open.get_mut(id) else { return };
         let until = if until.is_zero() { call.deadline } else { until.min(call.deadline) };
         let attempt = Attempt { exchange: exchange.clone(), seq: call.attempts, at: self.now };
@@ -446,7 +456,7 @@
         }
         self.timers.set(until, Due::Attempt(id.clone(), attempt.seq));
         call.out = Some(attempt);
-        self.effects.push(Effect::Start {
+        self.effects.push(Effect::SendSetUp {
             exchange,
             call: id.clone(),
             class: call.class,
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -18,7 +18,7 @@
 impl Exchanges {
     /// No exchange listed yet; places that the settings name are served once one is. In a mesh each router has
     /// an exchange of its own, numbered as the routers are.
-    pub fn expecting(settings: &Settings) -> Self {
+    pub fn with_places_of(settings: &Settings) -> Self {
         let meshed = matches!(settings.topology, Topology::Meshed(_));
         let places = settings.classes.iter().flat_map(|class| class.pools.iter().copied()).collect();
         let numbered_below = if meshed { settings.fleet_size } else { 0 };
@@ -44,7 +44,7 @@
     }
 
     /// All lines.
-    pub fn lines(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.lines.values()
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether the exchange is listed.
-    pub fn knows(&self, exchange: &ExchangeId) -> bool {
+    pub fn is_listed(&self, exchange: &ExchangeId) -> bool {
         self.lines.contains_key(exchange)
     }
 }
--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -93,7 +93,7 @@
 
     fn exchanges(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        for line in platform.core.exchanges.lines() {
+        for line in platform.core.exchanges.entries() {
             let pool = platform.pools().find(|(id, _)| **id == line.exchange).map(|(_, pool)| pool);
             let (address, open) = pool.map_or((String::new(), 0), |l| (l.address.to_string(), l.open()));
             let (id, place) = (&line.exchange.0, line.place.0);
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -147,7 +147,7 @@
             health: Health::Live,
             up_since: None,
         });
-        self.core.directory(self.clock.now(), ListKind::Full, entries.collect());
+        self.core.update_directory(self.clock.now(), ListKind::Full, entries.collect());
         for address in &self.setup.upstreams {
             let upstream = Upstream { address: *address, out: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
@@ -189,7 +189,7 @@
         let free: Vec<(ExchangeId, f64)> =
             self.upstreams.iter().map(|(id, u)| (id.clone(), size - u.out.len() as f64)).collect();
         for (id, free) in free {
-            self.core.report(now, &id, vec![free.max(0.0), size]);
+            self.core.handle_load_report(now, &id, vec![free.max(0.0), size]);
         }
     }
 
@@ -213,7 +213,7 @@
             reconnect: false,
         };
         let request = Request { origin: Origin(self.next), offer, description: "".into() };
-        self.core.request(self.clock.now(), request);
+        self.core.handle_request(self.clock.now(), request);
         self.flush();
     }
 
@@ -266,15 +266,15 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Start { exchange, call, left, .. } => self.query(&exchange, &call, left),
-            Effect::Finish { exchange: Some(exchange), call, .. } => self.forget(&exchange, &call),
+            Effect::SendSetUp { exchange, call, left, .. } => self.query(&exchange, &call, left),
+            Effect::ReleaseAtExchange { exchange: Some(exchange), call, .. } => self.forget(&exchange, &call),
             Effect::Answer { call, .. } => {
                 let found = self.found.remove(&call);
                 self.conclude(&call, found);
             }
             Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
-            Effect::Finish { .. } | Effect::Release { .. } | Effect::TellAll(_) => {}
+            Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::TellAll(_) => {}
         }
     }
 
@@ -326,7 +326,7 @@
             Ok(reply) => match reply.rcode {
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.found.insert(call.clone(), Found { rcode: reply.rcode, records: reply.records });
-                    self.core.reply(now, exchange, call, Reply::Stands("".into()));
+                    self.core.handle_reply(now, exchange, call, Reply::Stands("".into()));
                     Status::Ended
                 }
                 // Not resolved by this one; another may.
@@ -337,7 +337,7 @@
         if status != Status::Ended {
             debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "how" => ?status);
         }
-        self.core.reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
+        self.core.handle_reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
         self.tell_room();
         self.flush();
         self.found.remove(call); // left only if nobody waits any more
@@ -475,7 +475,7 @@
     }
 
     fn wake(&mut self, now: Duration) {
-        self.core.wake(now);
+        self.core.run_due_timers(now);
         self.flush();
     }
 
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -27,7 +27,7 @@
             }
             "BYE" => {
                 // After a restart it is not known which calls stand; the release is passed on all the same.
-                let known = self.core.calls.open.contains_key(&id) || self.core.calls.is_over(&id);
+                let known = self.core.calls.open.contains_key(&id) || self.core.calls.has_ended(&id);
                 let status = if known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
                 self.releases.remove(&id);
@@ -74,7 +74,7 @@
             }
             return self.reject(client, 482, &echoed, "id of another set-up");
         }
-        if self.core.calls.is_over(&id) {
+        if self.core.calls.has_ended(&id) {
             return self.reject(client, 482, &echoed, "id of a set-up that is over");
         }
         if let Some(place) = dest.filter(|d| !self.core.exchanges.serves(*d)) {
@@ -95,7 +95,7 @@
         self.clients.begin(client, id);
         let request = Request { origin: Origin(client), offer, description: description.into() };
         match dest {
-            Some(_) => self.core.request(now, request),
+            Some(_) => self.core.handle_request(now, request),
             None => self.look_up(now, request),
         }
     }
@@ -179,7 +179,7 @@
                 Resolved::To(place) => {
                     request.offer.dest = place;
                     request.offer.remaining = deadline.saturating_sub(now);
-                    platform.core.request(now, request);
+                    platform.core.handle_request(now, request);
                 }
                 Resolved::Nowhere => platform.answer_unrouted(&id, 404),
                 Resolved::Unknown => platform.answer_unrouted(&id, 503),
@@ -202,7 +202,7 @@
             self.take_invite(id).is_some()
         };
         if is_open {
-            self.core.hang_up(now, id, CLEARED);
+            self.core.hang_up(now, id, CAUSE_NORMAL_CLEARING);
         }
     }
 
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -20,7 +20,7 @@
     pub(super) fn carry_out(&mut self, effect: Effect) {
         let now = self.clock.now();
         match effect {
-            Effect::Start { exchange, call, class, number, left, description } => {
+            Effect::SendSetUp { exchange, call, class, number, left, description } => {
                 let class = self.class_names.get(class).map_or("", String::as_str);
                 let bytes = jsonl::start(&call.0, class, &number, left.as_millis(), &description);
                 debug!(self.log, "attempt sent"; "call_id" => &*call.0, "exchange_id" => &*exchange.0,
@@ -31,7 +31,7 @@
                 }
                 self.connect(&exchange);
             }
-            Effect::Finish { exchange, call, cause } => {
+            Effect::ReleaseAtExchange { exchange, call, cause } => {
                 debug!(self.log, "call released at exchange"; "call_id" => &*call.0, "cause" => cause,
                     "exchange_id" => exchange.as_ref().map_or("all", |e| &*e.0));
                 let bytes = jsonl::finish(&call.0, cause);
@@ -53,7 +53,7 @@
                     self.clients.on_answered(invite.client);
                 }
                 if !self.answer_request(&call, 200, "stands", None, description.as_bytes()) {
-                    self.core.hang_up(now, &call, CUT);
+                    self.core.hang_up(now, &call, CAUSE_TEMPORARY_FAILURE);
                 }
             }
             Effect::Refuse { call, stay_away, .. } => {
@@ -63,7 +63,7 @@
             Effect::Fail { call, .. } => {
                 self.answer_request(&call, 500, "failed", None, b"");
             }
-            Effect::Release { origin, call, cause } => self.release(origin.map(|o| o.0), call, cause),
+            Effect::ReleaseAtClient { origin, call, cause } => self.release(origin.map(|o| o.0), call, cause),
             Effect::TellAll(text) => self.tell_all(&text),
             Effect::Log(line) => info!(self.log, "{}", line),
         }
@@ -80,7 +80,7 @@
     }
 
     pub(in crate::net) fn peer_message(&mut self, from: u32, text: &str) {
-        self.core.peer(self.clock.now(), from, text.to_owned());
+        self.core.handle_peer_message(self.clock.now(), from, text.to_owned());
         self.flush();
     }
 
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -17,12 +17,12 @@
         }
         let report = line.load.as_deref().map(|load| self.report(load)).unwrap_or_default();
         match line.verb.as_str() {
-            "LOAD" => self.core.report(now, exchange, report),
+            "LOAD" => self.core.handle_load_report(now, exchange, report),
             "STARTED" => {
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
                 self.metrics.count_outcome("stands");
                 let description = line.blob.as_deref().unwrap_or_default().into();
-                self.core.reply(now, exchange, &id, Reply::Stands(description));
+                self.core.handle_reply(now, exchange, &id, Reply::Stands(description));
             }
             "FINISH" => {
                 let stood = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
@@ -31,7 +31,7 @@
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
                     "status" => ?status, "cause" => ?line.cause, "note" => line.note.as_deref().unwrap_or(""));
                 self.metrics.count_outcome(outcome_name(status));
-                self.core.reply(now, exchange, &id, Reply::Ended { status, cause, report });
+                self.core.handle_reply(now, exchange, &id, Reply::Ended { status, cause, report });
                 if stood {
                     self.answer(exchange, conn, &jsonl::plain("FINISHED", &id.0, None));
                 }
@@ -66,7 +66,7 @@
         let missed = pool.is_idle(now) && self.core.stands_at(exchange);
         if missed && pool.is_out_of_reach(now) {
             warn!(self.log, "out of reach, its calls are released"; "exchange_id" => &*exchange.0);
-            self.core.cut(now, exchange);
+            self.core.reset_calls_at(now, exchange);
             return self.flush();
         }
         if self.is_stopped || !pool.wants_connect(now, missed) || !pool.make_room() {
@@ -102,7 +102,7 @@
         }
         if died {
             // Its connections broke and nothing listens any more: what stood there was cut with it.
-            self.core.cut(now, exchange);
+            self.core.reset_calls_at(now, exchange);
         }
         self.flush();
     }
@@ -123,7 +123,11 @@
             // Guards against circuits held for nobody: the set-up may have run, and its answer been spoilt or
             // cut off. Whatever stands there is released before the call goes there again.
             let exchange_id = Some(exchange.clone());
-            self.carry_out(Effect::Finish { exchange: exchange_id, call: id.clone(), cause: CLEARED });
+            self.carry_out(Effect::ReleaseAtExchange {
+                exchange: exchange_id,
+                call: id.clone(),
+                cause: CAUSE_NORMAL_CLEARING,
+            });
             self.on_connection_reset(exchange, &id, true);
         }
         self.connect(exchange);
@@ -137,7 +141,7 @@
                 "status" => ?status);
             self.metrics.count_outcome(outcome_name(status));
             let reply = Reply::Ended { status, cause: None, report: Vec::new() };
-            self.core.reply(self.clock.now(), exchange, id, reply);
+            self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
     }
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Notify;
 
 use crate::call::calls::Origin;
-use crate::call::core::{Core, Effect, Reply, Request, CLEARED, CUT};
+use crate::call::core::{Core, Effect, Reply, Request, CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
 use crate::lifecycle::config::{Config, Listed, Update};
@@ -134,7 +134,7 @@
     /// When the decision module takes the settings for senseless.
     pub fn new(config: &Config, log: Logger, clock: Clock) -> Result<Handle, SettingsError> {
         let (now, limits) = (clock.now(), &config.settings.limits);
-        let exchanges = Exchanges::expecting(&config.settings);
+        let exchanges = Exchanges::with_places_of(&config.settings);
         let controller = Controller::new(config.settings.clone(), config.seed, now)?;
         let platform = Rc::new_cyclic(|me| {
             RefCell::new(Self {
@@ -278,7 +278,7 @@
             missing.for_each(|(_, pool)| pool.set_listed(now, false));
         }
         let before: BTreeMap<ExchangeId, Option<Duration>> =
-            self.core.exchanges.lines().map(|e| (e.exchange.clone(), e.up_since)).collect();
+            self.core.exchanges.entries().map(|e| (e.exchange.clone(), e.up_since)).collect();
         for Listed { entry, address } in lines {
             let id = &entry.exchange;
             let pool =
@@ -297,7 +297,7 @@
         }
         self.pools.retain(|_, l| !l.is_spent());
         let entries = lines.iter().map(|l| l.entry.clone()).collect();
-        self.core.directory(now, kind, entries);
+        self.core.update_directory(now, kind, entries);
         self.withdraw_queued(lines);
         self.flush();
     }
@@ -341,7 +341,7 @@
     }
 
     fn wake(&mut self, now: Duration) {
-        self.core.wake(now);
+        self.core.run_due_timers(now);
         self.flush();
     }
 
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -171,7 +171,7 @@
         assert!(gone.is_empty());
         assert_eq!(list.apply(ListKind::Changes, &[entry(n, Health::Gone)]).len(), 1);
     }
-    assert_eq!(list.lines().count(), 0);
+    assert_eq!(list.entries().count(), 0);
     assert!(list.serves(Place(2)) && !list.serves(Place(3)));
 }
 
