--- a/src/call/calls.rs
+++ b/src/call/calls.rs
@@ -1,4 +1,4 @@
-//! Calls in hand: requests not answered yet, calls that stand, and ids that are over.
+//! Open calls (unanswered requests and established calls) and the ids of calls that ended recently.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -6,88 +6,90 @@
 
 use crate::interface::{CallId, ExchangeId};
 
-/// Where a request came from, as its front names it.
+/// Source of a request; the front end assigns the number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Origin(pub u64);
 
-/// One attempt that is out, or that stands.
+/// An attempt that is pending or that established the call.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// Exchange that it was sent to.
     pub exchange: ExchangeId,
-    /// Its number.
+    /// Number of the attempt within its call, from 0.
     pub seq: u32,
-    /// When it was sent.
-    pub at: Duration,
+    /// Time at which it was sent.
+    pub sent_at: Duration,
 }
 
-/// A call in hand.
+/// An open call.
 #[derive(Debug)]
 pub struct Call {
-    /// Where its request came from.
+    /// Source of its request.
     pub origin: Origin,
-    /// Class number.
+    /// Index of its class.
     pub class: usize,
-    /// Number called.
+    /// Called number.
     pub number: Arc<str>,
-    /// Its description, passed on as it is.
+    /// Session description, passed on unchanged.
     pub description: Arc<str>,
-    /// When the caller gives up.
+    /// Time at which the caller stops waiting for an answer.
     pub deadline: Duration,
-    /// Attempts made so far.
-    pub attempts: u32,
-    /// The one that is out or stands.
-    pub out: Option<Attempt>,
-    /// It has been answered: the call stands.
+    /// Number of attempts made so far.
+    pub attempt_count: u32,
+    /// Attempt that is pending or that established the call.
+    pub attempt: Option<Attempt>,
+    /// Set once an exchange has answered: the call is established.
     pub stands: bool,
 }
 
-/// How long an id that is over is remembered, so that what still arrives for it is known for late.
-const REMEMBERED: Duration = Duration::from_secs(15);
-/// How many such ids at most; the oldest are forgotten first.
-const MOST_REMEMBERED: usize = 32_768;
+/// Time for which the id of an ended call is kept, so that messages arriving late for it are recognized.
+const ENDED_CALL_RETENTION: Duration = Duration::from_secs(15);
+/// Largest number of such ids; beyond it the oldest are dropped.
+const MAX_ENDED_CALLS: usize = 32_768;
 
-/// All calls in hand and those lately over.
+/// All open calls and the ids of calls that ended recently.
 #[derive(Debug, Default)]
 pub struct Calls {
-    /// Calls in hand.
+    /// Open calls by id.
     pub open: HashMap<CallId, Call>,
-    over: HashMap<CallId, Duration>,
-    order: VecDeque<(Duration, CallId)>,
+    /// Ids of ended calls with the time of their end.
+    ended: HashMap<CallId, Duration>,
+    /// The same ids, earliest end first; an id that ended twice is listed twice.
+    ended_by_time: VecDeque<(Duration, CallId)>,
 }
 
 impl Calls {
-    /// Ends a call: it is out of hand, and its id is remembered for a while.
+    /// Removes an open call and keeps its id as ended for a while; returns the call.
     pub fn end(&mut self, id: &CallId, now: Duration) -> Option<Call> {
         self.mark_ended(id, now);
         self.open.remove(id)
     }
 
-    /// Remembers an id as over.
+    /// Keeps an id as ended and drops ids that are too old or too many.
     pub fn mark_ended(&mut self, id: &CallId, now: Duration) {
-        self.over.insert(id.clone(), now);
-        self.order.push_back((now, id.clone()));
-        while self.order.len() > MOST_REMEMBERED
-            || self.order.front().is_some_and(|(at, _)| *at + REMEMBERED < now)
+        self.ended.insert(id.clone(), now);
+        self.ended_by_time.push_back((now, id.clone()));
+        while self.ended_by_time.len() > MAX_ENDED_CALLS
+            || self.ended_by_time.front().is_some_and(|(ended_at, _)| *ended_at + ENDED_CALL_RETENTION < now)
         {
-            let Some((at, old)) = self.order.pop_front() else { break };
-            if self.over.get(&old) == Some(&at) {
-                self.over.remove(&old);
+            let Some((ended_at, expired)) = self.ended_by_time.pop_front() else { break };
+            if self.ended.get(&expired) == Some(&ended_at) {
+                self.ended.remove(&expired);
             }
         }
     }
 
-    /// Whether the id was in hand and is over.
+    /// Returns `true` if a call with this id ended recently.
     pub fn has_ended(&self, id: &CallId) -> bool {
-        self.over.contains_key(id)
+        self.ended.contains_key(id)
     }
 
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
         self.open.values().filter(|c| !c.stands).count()
     }
 
-    /// Calls that stand.
+    /// Number of established calls.
     pub fn standing(&self) -> usize {
         self.open.len() - self.unanswered()
     }
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -1,7 +1,8 @@
-//! The core: requests come in, attempts go out, each request gets one final answer.
+//! Call processing without I/O: turns requests into attempts and gives each request one final answer.
 //!
-//! It hosts the decision module just as the adapter does. It knows no socket and reads no clock: every
-//! call brings the time along, and what is to be done is taken as a list of effects.
+//! [`Core`] hosts the [`Controller`], which makes all decisions, in the same way as the adapter does. It
+//! opens no sockets and reads no clock: each method takes the current time, and the resulting work is
+//! collected as [`Effect`]s for a front end to carry out.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,249 +10,256 @@
 
 use super::calls::{Attempt, Call, Calls, Origin};
 use super::exchanges::Exchanges;
-use super::timers::Timers;
+use super::timers::TimerQueue;
 use crate::interface::{
     Action, CallId, Cause, Entry, Event, ExchangeId, ListKind, Offer, Outcome, Status, Token,
 };
 use crate::Controller;
 
-/// Normal clearing (Q.850).
+/// Q.850 cause 16, normal call clearing.
 pub const CAUSE_NORMAL_CLEARING: u32 = 16;
-/// Temporary failure (Q.850): the call was cut.
+/// Q.850 cause 41, temporary failure: the connection or the exchange failed during the call.
 pub const CAUSE_TEMPORARY_FAILURE: u32 = 41;
 
-/// A request, as a front hands it over.
+/// A set-up request, as a front end hands it over.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Where the answer goes.
+    /// Source of the request, to which the answer goes.
     pub origin: Origin,
-    /// What the decision module is told.
+    /// Description of the call for the controller.
     pub offer: Offer,
-    /// Passed on as it is.
+    /// Session description, passed on unchanged.
     pub description: Arc<str>,
 }
 
-/// What an exchange says of an attempt.
+/// An exchange's reply to an attempt.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// The call stands; with the exchange's description.
+    /// The call is established; holds the exchange's session description.
     Stands(Arc<str>),
-    /// The attempt, or the call that stood, has ended.
+    /// The attempt, or the call that it established, has ended.
     Ended {
-        /// How.
+        /// How it ended.
         status: Status,
-        /// Why, where told.
+        /// Why it ended, if the exchange said.
         cause: Option<Cause>,
-        /// Load report.
+        /// Load report in the order of the configured gauges; empty if none came with the reply.
         report: Vec<f64>,
     },
 }
 
-/// What a front is to do.
+/// Work for the front end.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Send a set-up.
+    /// Sends a set-up to an exchange.
     SendSetUp {
-        /// To this exchange.
+        /// Exchange that the set-up goes to.
         exchange: ExchangeId,
-        /// The call.
+        /// Call to set up.
         call: CallId,
-        /// Class number.
+        /// Index of the call's class.
         class: usize,
-        /// Number called.
+        /// Called number.
         number: Arc<str>,
-        /// What the attempt has left.
+        /// Time until the attempt times out.
         left: Duration,
-        /// Description.
+        /// Session description.
         description: Arc<str>,
     },
-    /// Give up a set-up, or release a call, at an exchange.
+    /// Abandons a set-up, or releases an established call, at an exchange.
     ReleaseAtExchange {
-        /// At this exchange; `None`: wherever it stands.
+        /// Exchange that holds the call; `None` if it is unknown, in which case every exchange is told.
         exchange: Option<ExchangeId>,
-        /// The call.
+        /// Call to release.
         call: CallId,
         /// Q.850 cause.
         cause: u32,
     },
-    /// Final answer: the call stands.
+    /// Gives the final answer that the call is established.
     Answer {
-        /// Where the request came from.
+        /// Source of the request.
         origin: Origin,
-        /// The call.
+        /// Call that was requested.
         call: CallId,
-        /// The exchange's description.
+        /// Session description of the exchange.
         description: Arc<str>,
     },
-    /// Final answer: refused, trying again is harmless.
+    /// Gives the final answer that the request is refused; repeating it can't set up the call twice.
     Refuse {
-        /// Where the request came from.
+        /// Source of the request.
         origin: Origin,
-        /// The call.
+        /// Call that was requested.
         call: CallId,
-        /// How long to stay away.
+        /// Time that the caller is asked to wait before it tries again.
         stay_away: Option<Duration>,
     },
-    /// Final answer: failed.
+    /// Gives the final answer that the request failed; an exchange may have set up the call.
     Fail {
-        /// Where the request came from.
+        /// Source of the request.
         origin: Origin,
-        /// The call.
+        /// Call that was requested.
         call: CallId,
     },
-    /// A call that stood is over; its client is to be told.
+    /// Tells the client that an established call has ended.
     ReleaseAtClient {
-        /// Where its request came from, if that is known.
+        /// Source of the call's request; `None` if the call is older than this process.
         origin: Option<Origin>,
-        /// The call.
+        /// Call that has ended.
         call: CallId,
         /// Q.850 cause.
         cause: u32,
     },
-    /// A message to all other controllers.
+    /// Sends a message to all other controllers.
     TellAll(String),
-    /// A line for the operators.
+    /// Writes a line to the operators' log.
     Log(String),
 }
 
 #[derive(Debug)]
-enum Due {
-    Module(Token),
-    /// The attempt with this number is to be given up.
-    Attempt(CallId, u32),
-    /// The caller gives up.
-    Deadline(CallId),
+enum Timer {
+    /// A timer of the controller is due.
+    Controller(Token),
+    /// The attempt with this number times out.
+    AttemptTimeout(CallId, u32),
+    /// The caller stops waiting for the answer.
+    RequestDeadline(CallId),
 }
 
-/// Calls in hand at most; further requests are turned away before they are taken.
-const MOST_OPEN: usize = 20_000;
+/// Largest number of open calls; further requests are refused without the controller seeing them.
+const MAX_OPEN_CALLS: usize = 20_000;
 
-/// The core answers for the module so long after a request's time is up.
+/// Time after a request's deadline at which the core answers in place of the controller.
 ///
-/// Guards the module's own last word: an attempt that times out at the deadline is its to answer, with
-/// advice to stay away, and both were due in the same instant.
-const OVERDUE: Duration = Duration::from_millis(10);
+/// An attempt may time out exactly at the deadline. The controller answers such a request itself and
+/// asks the caller to hold off; without the grace period both answers would be due at the same instant.
+const DEADLINE_GRACE: Duration = Duration::from_millis(10);
 
-/// Requests, attempts and outcomes round one controller.
+/// Requests, attempts and established calls of one controller.
 #[derive(Debug)]
 pub struct Core {
     controller: Controller,
-    /// Calls in hand.
+    /// Open calls and those that ended recently.
     pub calls: Calls,
-    /// The list.
+    /// Listed exchanges.
     pub exchanges: Exchanges,
-    timers: Timers<Due>,
+    timers: TimerQueue<Timer>,
+    /// Events that the controller has not seen yet.
     events: VecDeque<Event>,
+    /// Effects that the front end has not taken yet.
     effects: Vec<Effect>,
+    /// Latest time given by a caller; never goes back.
     now: Duration,
 }
 
 impl Core {
-    /// Puts a controller to work.
+    /// Creates the core around a controller.
     pub fn new(controller: Controller, exchanges: Exchanges, now: Duration) -> Self {
         Self {
             controller,
             calls: Calls::default(),
             exchanges,
-            timers: Timers::default(),
+            timers: TimerQueue::default(),
             events: VecDeque::new(),
             effects: Vec::new(),
             now,
         }
     }
 
-    /// Takes what is to be done.
+    /// Returns the effects collected since the last time and clears them.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`Core::run_due_timers`] is due next.
+    /// Returns the time at which [`Core::run_due_timers`] must run next.
     pub fn next_due(&self) -> Option<Duration> {
-        self.timers.next()
+        self.timers.next_due()
     }
 
-    fn at(&mut self, now: Duration) {
+    fn advance_clock(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
-    /// Hands events to the module until there are no more, and carries out its actions.
-    fn run(&mut self) {
+    /// Passes queued events to the controller and executes its actions until no event is left.
+    fn process_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = Vec::new();
             self.controller.handle(self.now, event, &mut actions);
-            actions.into_iter().for_each(|action| self.carry_out(action));
+            actions.into_iter().for_each(|action| self.execute(action));
         }
     }
 
-    /// News of the list.
+    /// Applies an update of the exchange directory.
     pub fn update_directory(&mut self, now: Duration, kind: ListKind, entries: Vec<Entry>) {
-        self.at(now);
-        let gone = self.exchanges.apply(kind, &entries);
+        self.advance_clock(now);
+        let removed = self.exchanges.apply(kind, &entries);
         self.events.push_back(Event::Directory { kind, entries: Arc::new(entries) });
-        self.run();
-        // Guards against calls left standing for good: a process that is gone can't release its own. One
-        // that has started anew does, on the next connection; what stands there may be new already.
-        for exchange in gone {
+        self.process_events();
+        // A process that has ended can't release its calls, so they would stay established forever. A process
+        // that has restarted releases its earlier calls itself on the next connection, and calls that are
+        // established there may already be new ones.
+        for exchange in removed {
             self.reset_calls_at(now, &exchange);
         }
     }
 
-    /// Whether a call stands at an exchange.
+    /// Returns `true` if an established call is held at the exchange.
     pub fn stands_at(&self, exchange: &ExchangeId) -> bool {
-        let at = |c: &Call| c.stands && c.out.as_ref().is_some_and(|a| a.exchange == *exchange);
-        self.calls.open.values().any(at)
+        let is_held_here = |c: &Call| c.stands && c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange);
+        self.calls.open.values().any(is_held_here)
     }
 
-    /// Every call that stands at an exchange is over without its word: its process has ended.
+    /// Ends every established call at an exchange that can no longer release them itself: its process has
+    /// ended or is out of reach.
     pub fn reset_calls_at(&mut self, now: Duration, exchange: &ExchangeId) {
-        let at = |c: &Call| c.stands && c.out.as_ref().is_some_and(|a| a.exchange == *exchange);
-        let mut cut: Vec<CallId> =
-            self.calls.open.iter().filter(|(_, c)| at(c)).map(|(id, _)| id.clone()).collect();
-        cut.sort();
-        for id in cut {
-            self.handle_reply(now, exchange, &id, ended(Status::Reset));
+        let is_held_here = |c: &Call| c.stands && c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange);
+        let mut affected: Vec<CallId> =
+            self.calls.open.iter().filter(|(_, c)| is_held_here(c)).map(|(id, _)| id.clone()).collect();
+        affected.sort();
+        for id in affected {
+            self.handle_reply(now, exchange, &id, ended_reply(Status::Reset));
         }
     }
 
-    /// A request: it gets exactly one final answer, or none if its caller goes first.
+    /// Handles a request, which gets exactly one final answer, or none if its caller gives up before.
     pub fn handle_request(&mut self, now: Duration, request: Request) {
-        self.at(now);
+        self.advance_clock(now);
         let (id, offer) = (request.offer.call.clone(), request.offer);
         if self.calls.open.contains_key(&id) || self.calls.has_ended(&id) {
-            // Guards against a second answer: an id is never reused, so this is the same request again.
-            return self.effects.push(Effect::Log(format!("request {} came twice", id.0)));
+            // Ids are never reused, so this is a repeat of the same request; answering it again would give
+            // the caller a second answer.
+            return self.effects.push(Effect::Log(format!("duplicate request ignored: call {}", id.0)));
         }
-        if self.calls.open.len() >= MOST_OPEN {
+        if self.calls.open.len() >= MAX_OPEN_CALLS {
             return self.effects.push(Effect::Refuse { origin: request.origin, call: id, stay_away: None });
         }
         let deadline = self.now + offer.remaining;
-        self.timers.set(deadline + OVERDUE, Due::Deadline(id.clone()));
+        self.timers.schedule(deadline + DEADLINE_GRACE, Timer::RequestDeadline(id.clone()));
         let call = Call {
             origin: request.origin,
             class: offer.class,
             number: offer.number.clone(),
             description: request.description,
             deadline,
-            attempts: 0,
-            out: None,
+            attempt_count: 0,
+            attempt: None,
             stands: false,
         };
         self.calls.open.insert(id, call);
         self.events.push_back(Event::Offered(offer));
-        self.run();
+        self.process_events();
     }
 
-    /// The caller has given a request up, or hangs up a call that stands.
+    /// Handles a caller that abandons its request or hangs up an established call.
     pub fn hang_up(&mut self, now: Duration, id: &CallId, cause: u32) {
-        self.at(now);
+        self.advance_clock(now);
         let known = self.calls.open.contains_key(id);
         if !known && self.calls.has_ended(id) {
             return;
         }
         let call = self.calls.end(id, self.now);
-        let attempt = call.as_ref().and_then(|c| c.out.clone());
+        let attempt = call.as_ref().and_then(|c| c.attempt.clone());
         if attempt.is_some() || !known {
-            // After a restart it is not known where a call stands: every exchange is told.
+            // For a call from before a restart the exchange is unknown, so every exchange is told.
             let exchange = attempt.as_ref().map(|a| a.exchange.clone());
             self.effects.push(Effect::ReleaseAtExchange { exchange, call: id.clone(), cause });
         }
@@ -260,31 +268,31 @@
             self.events.push_back(Event::CallerGone(id.clone()));
         }
         if let Some(attempt) = attempt {
-            self.note_end(id, &attempt, Status::Cancelled, None, Vec::new(), true);
+            self.queue_outcome(id, &attempt, Status::Cancelled, None, Vec::new(), true);
         }
-        self.run();
+        self.process_events();
     }
 
-    /// What an exchange says of a call.
+    /// Handles an exchange's reply for a call.
     pub fn handle_reply(&mut self, now: Duration, exchange: &ExchangeId, id: &CallId, reply: Reply) {
-        self.at(now);
+        self.advance_clock(now);
         let call = self.calls.open.get_mut(id);
-        let current = call.filter(|c| c.out.as_ref().is_some_and(|a| a.exchange == *exchange));
+        let current = call.filter(|c| c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange));
         match (current, reply) {
             (Some(call), Reply::Stands(description)) => {
                 if std::mem::replace(&mut call.stands, true) {
                     return;
                 }
-                let Some(attempt) = call.out.clone() else { return };
+                let Some(attempt) = call.attempt.clone() else { return };
                 let origin = call.origin;
                 self.effects.push(Effect::Answer { origin, call: id.clone(), description });
-                let took = self.now.saturating_sub(attempt.at);
+                let took = self.now.saturating_sub(attempt.sent_at);
                 let (call, exchange) = (id.clone(), attempt.exchange);
                 self.events.push_back(Event::Stands { call, seq: attempt.seq, exchange, took });
             }
             (None, Reply::Stands(_)) => {
-                // Guards against circuits held for nobody: the set-up was given up while this answer was
-                // on its way, or belongs to an earlier life of this router.
+                // The set-up was abandoned while this answer was in flight, or was sent before this router
+                // restarted. The call is released, since its circuits would otherwise stay seized.
                 let exchange = Some(exchange.clone());
                 self.effects.push(Effect::ReleaseAtExchange {
                     exchange,
@@ -293,22 +301,22 @@
                 });
             }
             (Some(call), Reply::Ended { status, cause, report }) => {
-                let Some(attempt) = call.out.take() else { return };
-                let stood = call.stands;
-                if stood {
+                let Some(attempt) = call.attempt.take() else { return };
+                let was_established = call.stands;
+                if was_established {
                     let origin = Some(call.origin);
                     let cause =
                         if status == Status::Ended { CAUSE_NORMAL_CLEARING } else { CAUSE_TEMPORARY_FAILURE };
                     self.effects.push(Effect::ReleaseAtClient { origin, call: id.clone(), cause });
                     self.calls.end(id, self.now);
                 }
-                self.note_end(id, &attempt, status, cause, report, stood);
+                self.queue_outcome(id, &attempt, status, cause, report, was_established);
             }
             (None, Reply::Ended { status, report, .. }) => {
-                self.events.push_back(sampled(exchange, report));
+                self.events.push_back(sampled_event(exchange, report));
                 let known = self.calls.open.contains_key(id) || self.calls.has_ended(id);
                 if !known {
-                    // It stood before this router's start.
+                    // The call was established before this router started.
                     self.calls.mark_ended(id, self.now);
                     let cause =
                         if status == Status::Ended { CAUSE_NORMAL_CLEARING } else { CAUSE_TEMPORARY_FAILURE };
@@ -316,69 +324,71 @@
                 }
             }
         }
-        self.run();
+        self.process_events();
     }
 
-    /// Figures of an exchange that came unasked.
+    /// Handles a load report that an exchange sent unasked.
     pub fn handle_load_report(&mut self, now: Duration, exchange: &ExchangeId, report: Vec<f64>) {
-        self.at(now);
-        self.events.push_back(sampled(exchange, report));
-        self.run();
+        self.advance_clock(now);
+        self.events.push_back(sampled_event(exchange, report));
+        self.process_events();
     }
 
-    /// A message from another controller.
+    /// Handles a message from another controller.
     pub fn handle_peer_message(&mut self, now: Duration, from: u32, payload: String) {
-        self.at(now);
+        self.advance_clock(now);
         self.events.push_back(Event::Peer { from, payload });
-        self.run();
+        self.process_events();
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub fn run_due_timers(&mut self, now: Duration) {
-        self.at(now);
-        while let Some(due) = self.timers.take(self.now) {
+        self.advance_clock(now);
+        while let Some(due) = self.timers.pop_due(self.now) {
             match due {
-                Due::Module(token) => self.events.push_back(Event::Timer(token)),
-                Due::Attempt(id, seq) => self.time_out(&id, seq),
-                Due::Deadline(id) => self.overdue(&id),
+                Timer::Controller(token) => self.events.push_back(Event::Timer(token)),
+                Timer::AttemptTimeout(id, seq) => self.time_out_attempt(&id, seq),
+                Timer::RequestDeadline(id) => self.fail_overdue_request(&id),
             }
-            self.run();
+            self.process_events();
         }
     }
 
-    /// Answers whatever is still unanswered, before the program ends.
+    /// Answers every request that is still unanswered, before the process ends.
     pub fn give_up_all(&mut self, now: Duration) {
-        self.at(now);
+        self.advance_clock(now);
         let mut actions = Vec::new();
         self.controller.give_up_all(self.now, &mut actions);
-        actions.into_iter().for_each(|action| self.carry_out(action));
+        actions.into_iter().for_each(|action| self.execute(action));
         let open = self.calls.open.iter().filter(|(_, c)| !c.stands);
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
-        open.iter().for_each(|id| self.overdue(id));
-        self.run();
+        open.iter().for_each(|id| self.fail_overdue_request(id));
+        self.process_events();
     }
 
-    fn time_out(&mut self, id: &CallId, seq: u32) {
+    fn time_out_attempt(&mut self, id: &CallId, seq: u32) {
         let Some(call) = self.calls.open.get_mut(id).filter(|c| !c.stands) else { return };
-        let Some(attempt) = call.out.take_if(|a| a.seq == seq) else { return };
-        self.give_up(id, &attempt);
-        self.note_end(id, &attempt, Status::TimedOut, None, Vec::new(), false);
+        let Some(attempt) = call.attempt.take_if(|a| a.seq == seq) else { return };
+        self.release_attempt(id, &attempt);
+        self.queue_outcome(id, &attempt, Status::TimedOut, None, Vec::new(), false);
     }
 
-    /// Guards rule 1 whatever the module does: a request whose time is up is answered now.
-    fn overdue(&mut self, id: &CallId) {
+    /// Answers a request whose deadline has passed. Rule 1 requires one final answer to every request, even
+    /// if the controller gives none.
+    fn fail_overdue_request(&mut self, id: &CallId) {
         if self.calls.open.get(id).is_none_or(|c| c.stands) {
             return;
         }
         let Some(call) = self.calls.end(id, self.now) else { return };
-        if let Some(attempt) = &call.out {
-            self.give_up(id, attempt);
+        if let Some(attempt) = &call.attempt {
+            self.release_attempt(id, attempt);
         }
         self.effects.push(Effect::Fail { origin: call.origin, call: id.clone() });
         self.events.push_back(Event::CallerGone(id.clone()));
     }
 
-    fn give_up(&mut self, id: &CallId, attempt: &Attempt) {
+    /// Abandons a pending attempt at its exchange.
+    fn release_attempt(&mut self, id: &CallId, attempt: &Attempt) {
         let exchange = Some(attempt.exchange.clone());
         self.effects.push(Effect::ReleaseAtExchange {
             exchange,
@@ -387,7 +397,8 @@
         });
     }
 
-    fn note_end(
+    /// Queues the event that an attempt has ended; `complete` if the call itself has ended.
+    fn queue_outcome(
         &mut self,
         id: &CallId,
         attempt: &Attempt,
@@ -401,61 +412,67 @@
             seq: attempt.seq,
             exchange: attempt.exchange.clone(),
             status,
-            took: self.now.saturating_sub(attempt.at),
+            took: self.now.saturating_sub(attempt.sent_at),
             complete,
             cause,
             report,
         }));
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { call, to, until } => self.send(&call, to, until),
+            Action::Send { call, to, until } => self.send_attempt(&call, to, until),
             Action::Refuse { call, stay_away } => {
-                if let Some(Call { origin, .. }) = self.answerable(&call) {
+                if let Some(Call { origin, .. }) = self.end_unanswered(&call) {
                     self.effects.push(Effect::Refuse { origin, call, stay_away });
                 }
             }
             Action::Fail(call) => {
-                if let Some(Call { origin, .. }) = self.answerable(&call) {
+                if let Some(Call { origin, .. }) = self.end_unanswered(&call) {
                     self.effects.push(Effect::Fail { origin, call });
                 }
             }
             Action::Cancel { call, seq } => {
                 let open = self.calls.open.get_mut(&call).filter(|c| !c.stands);
-                let Some(attempt) = open.and_then(|c| c.out.take_if(|a| a.seq == seq)) else { return };
-                self.give_up(&call, &attempt);
-                self.note_end(&call, &attempt, Status::Cancelled, None, Vec::new(), false);
+                let Some(attempt) = open.and_then(|c| c.attempt.take_if(|a| a.seq == seq)) else { return };
+                self.release_attempt(&call, &attempt);
+                self.queue_outcome(&call, &attempt, Status::Cancelled, None, Vec::new(), false);
+            }
+            Action::Timer { after, token } => {
+                self.timers.schedule(self.now + after, Timer::Controller(token))
             }
-            Action::Timer { after, token } => self.timers.set(self.now + after, Due::Module(token)),
             Action::TellAll(text) => self.effects.push(Effect::TellAll(text)),
             Action::Log(line) => self.effects.push(Effect::Log(line)),
-            // The list is pushed here, and exchanges are never probed.
+            // The directory is pushed to the router, and exchanges offer no probe.
             Action::Watch | Action::Probe(_) => {}
         }
     }
 
-    /// Ends a call that may be answered; an attempt that is still out is given up.
-    fn answerable(&mut self, id: &CallId) -> Option<Call> {
+    /// Ends a call that has no final answer yet and abandons its pending attempt.
+    ///
+    /// Returns `None` if the call is not open or has been answered.
+    fn end_unanswered(&mut self, id: &CallId) -> Option<Call> {
         self.calls.open.get(id).filter(|c| !c.stands)?;
         let call = self.calls.end(id, self.now)?;
-        if let Some(attempt) = &call.out {
-            self.give_up(id, attempt);
+        if let Some(attempt) = &call.attempt {
+            self.release_attempt(id, attempt);
         }
         Some(call)
     }
 
-    fn send(&mut self, id: &CallId, exchange: ExchangeId, until: Duration) {
-        let known = self.exchanges.is_listed(&exchange);
+    /// Sends an attempt, limited to the call's deadline. It ends as moot without being sent if the exchange
+    /// is no longer listed, another attempt is pending, the call is established or no time is left.
+    fn send_attempt(&mut self, id: &CallId, exchange: ExchangeId, until: Duration) {
+        let is_listed = self.exchanges.is_listed(&exchange);
         let Some(call) = self.calls.open.get_mut(id) else { return };
         let until = if until.is_zero() { call.deadline } else { until.min(call.deadline) };
-        let attempt = Attempt { exchange: exchange.clone(), seq: call.attempts, at: self.now };
-        call.attempts += 1;
-        if !known || call.out.is_some() || call.stands || until <= self.now {
-            return self.note_end(id, &attempt, Status::Moot, None, Vec::new(), false);
+        let attempt = Attempt { exchange: exchange.clone(), seq: call.attempt_count, sent_at: self.now };
+        call.attempt_count += 1;
+        if !is_listed || call.attempt.is_some() || call.stands || until <= self.now {
+            return self.queue_outcome(id, &attempt, Status::Moot, None, Vec::new(), false);
         }
-        self.timers.set(until, Due::Attempt(id.clone(), attempt.seq));
-        call.out = Some(attempt);
+        self.timers.schedule(until, Timer::AttemptTimeout(id.clone(), attempt.seq));
+        call.attempt = Some(attempt);
         self.effects.push(Effect::SendSetUp {
             exchange,
             call: id.clone(),
@@ -467,11 +484,11 @@
     }
 }
 
-/// An end with nothing more told.
-pub fn ended(status: Status) -> Reply {
+/// Returns a reply that the attempt or call ended, without cause and load report.
+pub fn ended_reply(status: Status) -> Reply {
     Reply::Ended { status, cause: None, report: Vec::new() }
 }
 
-fn sampled(exchange: &ExchangeId, report: Vec<f64>) -> Event {
+fn sampled_event(exchange: &ExchangeId, report: Vec<f64>) -> Event {
     Event::Sampled { exchange: exchange.clone(), ok: true, took: Duration::ZERO, report }
 }
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -1,60 +1,62 @@
-//! The list of booking exchanges, as the directory has told it.
+//! Booking exchanges currently listed by the directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::{Entry, ExchangeId, Health, ListKind, Place, Settings, Topology};
 
-/// The exchanges that are listed, with their last lines.
+/// Listed exchanges with their latest directory entries, and the places that calls can go to.
 #[derive(Debug, Default)]
 pub struct Exchanges {
-    lines: BTreeMap<ExchangeId, Entry>,
-    /// Every place that was ever listed or that the settings name; they are few, however often their exchanges
-    /// change.
+    entries: BTreeMap<ExchangeId, Entry>,
+    /// Every place that was ever listed or that the settings name. Places are never removed; they stay few,
+    /// since a replaced exchange keeps its place.
     places: BTreeSet<Place>,
-    /// Places under this number belong to the deployment, listed or not.
-    numbered_below: u32,
+    /// Number of places of a mesh, all of which are served even if not listed; 0 without a mesh.
+    meshed_place_count: u32,
 }
 
 impl Exchanges {
-    /// No exchange listed yet; places that the settings name are served once one is. In a mesh each router has
-    /// an exchange of its own, numbered as the routers are.
+    /// Creates an empty list that already serves the places named in the settings.
+    ///
+    /// In a mesh each router has its own exchange with the same number, so that every number below the size
+    /// of the fleet is a place.
     pub fn with_places_of(settings: &Settings) -> Self {
         let meshed = matches!(settings.topology, Topology::Meshed(_));
         let places = settings.classes.iter().flat_map(|class| class.pools.iter().copied()).collect();
-        let numbered_below = if meshed { settings.fleet_size } else { 0 };
-        Self { lines: BTreeMap::new(), places, numbered_below }
+        let meshed_place_count = if meshed { settings.fleet_size } else { 0 };
+        Self { entries: BTreeMap::new(), places, meshed_place_count }
     }
 
-    /// Applies news; returns the exchanges that are gone with it.
+    /// Applies a directory update; returns the exchanges that it removed from the list.
     pub fn apply(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<ExchangeId> {
         let whole = matches!(kind, ListKind::Full | ListKind::Stored);
         let listed = |id: &ExchangeId| entries.iter().any(|e| e.exchange == *id);
-        let before: Vec<ExchangeId> = self.lines.keys().cloned().collect();
-        // Guards against growth for good: exchanges come under ever new ids, and those that go are dropped.
-        self.lines.retain(|id, _| !whole || listed(id));
+        let before: Vec<ExchangeId> = self.entries.keys().cloned().collect();
+        // A replaced exchange comes back under a new id, so the list would grow forever if old ids were kept.
+        self.entries.retain(|id, _| !whole || listed(id));
         for entry in entries {
             self.places.insert(entry.place);
             if entry.health == Health::Gone {
-                self.lines.remove(&entry.exchange);
+                self.entries.remove(&entry.exchange);
             } else {
-                self.lines.insert(entry.exchange.clone(), entry.clone());
+                self.entries.insert(entry.exchange.clone(), entry.clone());
             }
         }
-        before.into_iter().filter(|id| !self.lines.contains_key(id)).collect()
+        before.into_iter().filter(|id| !self.entries.contains_key(id)).collect()
     }
 
-    /// All lines.
+    /// Returns the entries of all listed exchanges.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
-        self.lines.values()
+        self.entries.values()
     }
 
-    /// Whether a place is one that calls can go to, now or when its exchange is back.
+    /// Returns `true` if calls can go to the place, now or once its exchange is listed again.
     pub fn serves(&self, place: Place) -> bool {
-        place.0 < self.numbered_below || self.places.contains(&place)
+        place.0 < self.meshed_place_count || self.places.contains(&place)
     }
 
-    /// Whether the exchange is listed.
+    /// Returns `true` if the exchange is listed.
     pub fn is_listed(&self, exchange: &ExchangeId) -> bool {
-        self.lines.contains_key(exchange)
+        self.entries.contains_key(exchange)
     }
 }
--- a/src/call/mod.rs
+++ b/src/call/mod.rs
@@ -1,7 +1,7 @@
-//! What is kept in memory: requests, attempts and outcomes, and the times at which something is due.
+//! Call state held in memory: requests, attempts, established calls, listed exchanges and timers.
 //!
-//! Nothing here knows a wire. The [`core::Core`] hands events to the decision module and turns its
-//! actions into [`core::Effect`]s, which a front carries out.
+//! This module is independent of any protocol. [`core::Core`] passes events to the controller and turns
+//! the controller's actions into [`core::Effect`]s, which a front end carries out.
 
 pub mod calls;
 pub mod core;
--- a/src/call/timers.rs
+++ b/src/call/timers.rs
@@ -1,36 +1,36 @@
-//! Times at which something is due.
+//! Queue of timers, ordered by due time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Due times, kept in order; of equal times the earlier set comes first.
+/// Timers in order of their due time; those due at the same time come in the order they were scheduled.
 #[derive(Debug)]
-pub struct Timers<T> {
-    due: BTreeMap<(Duration, u64), T>,
-    set: u64,
+pub struct TimerQueue<T> {
+    entries: BTreeMap<(Duration, u64), T>,
+    last_sequence: u64,
 }
 
-impl<T> Default for Timers<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
-        Self { due: BTreeMap::new(), set: 0 }
+        Self { entries: BTreeMap::new(), last_sequence: 0 }
     }
 }
 
-impl<T> Timers<T> {
-    /// Notes what is due at `at`.
-    pub fn set(&mut self, at: Duration, what: T) {
-        self.set += 1;
-        self.due.insert((at, self.set), what);
+impl<T> TimerQueue<T> {
+    /// Schedules a timer for the time `at`.
+    pub fn schedule(&mut self, at: Duration, timer: T) {
+        self.last_sequence += 1;
+        self.entries.insert((at, self.last_sequence), timer);
     }
 
-    /// The earliest due time.
-    pub fn next(&self) -> Option<Duration> {
-        self.due.first_key_value().map(|((at, _), _)| *at)
+    /// Returns the earliest due time.
+    pub fn next_due(&self) -> Option<Duration> {
+        self.entries.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the earliest thing due at `now`.
-    pub fn take(&mut self, now: Duration) -> Option<T> {
-        let entry = self.due.first_entry().filter(|e| e.key().0 <= now)?;
+    /// Removes and returns the earliest timer if it is due at `now`.
+    pub fn pop_due(&mut self, now: Duration) -> Option<T> {
+        let entry = self.entries.first_entry().filter(|e| e.key().0 <= now)?;
         Some(entry.remove())
     }
 }
