--- a/src/bin/quartzspindle-adapter/main.rs
+++ b/src/bin/quartzspindle-adapter/main.rs
@@ -1,5 +1,6 @@
-//! Adapter: reads batches of the wire on standard input, hands each event to the instance it is
-//! for, and writes what the instances decide. It decides nothing itself.
+//! Runs controllers for the simulator: reads batches of events as JSON lines from standard input, passes
+//! each event to the controller it names and writes the controllers' orders to standard output, one line
+//! for each batch. The adapter makes no decisions itself.
 
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
@@ -18,60 +19,69 @@
 use serde_json::{json, Value};
 
 #[derive(Default)]
-struct Host {
-    /// Instances by name; `None` after a fault of the module, when it only stays silent.
-    instances: BTreeMap<String, Option<Controller>>,
-    lists: BTreeMap<u64, Arc<Vec<Entry>>>,
+struct Adapter {
+    /// Controllers by instance name; `None` after a controller panicked or rejected its settings. Events for
+    /// such an instance are ignored.
+    controllers: BTreeMap<String, Option<Controller>>,
+    /// Directory lists by number (`Ref`), to which `Announce` events refer.
+    directories: BTreeMap<u64, Arc<Vec<Entry>>>,
 }
 
-impl Host {
-    fn batch(&mut self, line: &str) -> Result<String, String> {
+impl Adapter {
+    /// Processes one input line and returns the output line.
+    fn handle_batch(&mut self, line: &str) -> Result<String, String> {
         let batch: wire::Batch = serde_json::from_str(line).map_err(|e| e.to_string())?;
         let now = Duration::from_nanos(batch.time);
         let mut orders = Vec::new();
         for (index, value) in batch.happened.into_iter().enumerate() {
-            self.event(value, now, &mut orders).map_err(|e| format!("event {index}: {e}"))?;
+            self.handle_event(value, now, &mut orders).map_err(|e| format!("event {index}: {e}"))?;
         }
         Ok(json!({ "orders": orders }).to_string())
     }
 
-    fn event(&mut self, value: Value, now: Duration, orders: &mut Vec<Value>) -> Result<(), String> {
-        let op = value.get("op").and_then(Value::as_str).ok_or("no op")?.to_owned();
+    /// Processes one event and appends the resulting orders. Events of unknown kinds and events for unknown
+    /// instances are ignored.
+    fn handle_event(&mut self, value: Value, now: Duration, orders: &mut Vec<Value>) -> Result<(), String> {
+        let op = value.get("op").and_then(Value::as_str).ok_or("missing or invalid field `op`")?.to_owned();
         if op == "Directory" {
-            let list: wire::Directory = read(value)?;
-            let entries = list.rows.into_iter().map(wire::entry).collect::<Result<Vec<_>, _>>()?;
-            self.lists.insert(list.list, Arc::new(entries));
+            let directory: wire::Directory = deserialize_without_nulls(value)?;
+            let entries = directory.rows.into_iter().map(wire::parse_entry).collect::<Result<Vec<_>, _>>()?;
+            self.directories.insert(directory.list_number, Arc::new(entries));
             return Ok(());
         }
-        if !wire::KNOWN.contains(&op.as_str()) {
+        if !wire::INSTANCE_EVENTS.contains(&op.as_str()) {
             return Ok(());
         }
-        let name = value.get("SoftswitchId").and_then(Value::as_str).ok_or("no SoftswitchId")?.to_owned();
+        let name = value
+            .get("SoftswitchId")
+            .and_then(Value::as_str)
+            .ok_or("missing or invalid field `SoftswitchId`")?
+            .to_owned();
         match op.as_str() {
             "Boot" => {
-                let boot: wire::Boot = read(value)?;
-                let made = Controller::new(wire::settings(boot.info)?, boot.seed, now);
-                let slot = match made {
+                let boot: wire::Boot = deserialize_without_nulls(value)?;
+                let created = Controller::new(wire::parse_settings(boot.info)?, boot.seed, now);
+                let instance = match created {
                     Ok(controller) => Some(controller),
                     Err(e) => {
                         orders.push(json!({"op": "Broken", "SoftswitchId": name, "Line": e.to_string()}));
                         None
                     }
                 };
-                self.instances.insert(name, slot);
+                self.controllers.insert(name, instance);
             }
             "Halt" => {
-                self.instances.remove(&name);
+                self.controllers.remove(&name);
             }
             _ => {
-                let event = wire::event(&op, value, &self.lists)?;
-                let Some(slot) = self.instances.get_mut(&name) else {
+                let event = wire::parse_event(&op, value, &self.directories)?;
+                let Some(instance) = self.controllers.get_mut(&name) else {
                     return Ok(());
                 };
-                let Some(controller) = slot else { return Ok(()) };
-                if let Err(fault) = run(controller, now, event, &name, orders) {
-                    *slot = None;
-                    orders.push(json!({"op": "Broken", "SoftswitchId": name, "Line": fault}));
+                let Some(controller) = instance else { return Ok(()) };
+                if let Err(panic_message) = run_controller(controller, now, event, &name, orders) {
+                    *instance = None;
+                    orders.push(json!({"op": "Broken", "SoftswitchId": name, "Line": panic_message}));
                 }
             }
         }
@@ -79,8 +89,9 @@
     }
 }
 
-/// Runs one event; a panic in the module becomes its text.
-fn run(
+/// Passes one event to a controller and appends its orders. If the controller panics, the orders that it had
+/// given are kept and the panic message is returned as the error.
+fn run_controller(
     controller: &mut Controller,
     now: Duration,
     event: Event,
@@ -88,36 +99,36 @@
     orders: &mut Vec<Value>,
 ) -> Result<(), String> {
     let mut actions: Vec<Action> = Vec::new();
-    let ran = catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, &mut actions)));
-    orders.extend(actions.into_iter().map(|action| wire::order(name, action)));
-    ran.map_err(|fault| {
-        let text = fault.downcast_ref::<&str>().map(|s| (*s).to_owned());
-        text.or_else(|| fault.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_owned())
+    let result = catch_unwind(AssertUnwindSafe(|| controller.handle(now, event, &mut actions)));
+    orders.extend(actions.into_iter().map(|action| wire::encode_order(name, action)));
+    result.map_err(|payload| {
+        let text = payload.downcast_ref::<&str>().map(|s| (*s).to_owned());
+        text.or_else(|| payload.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".to_owned())
     })
 }
 
-/// Null stands for absent.
-fn strip(value: &mut Value) {
+/// Removes object fields that are null, since a null field means the same as an absent one.
+fn remove_nulls(value: &mut Value) {
     match value {
         Value::Object(fields) => {
             fields.retain(|_, v| !v.is_null());
-            fields.values_mut().for_each(strip);
+            fields.values_mut().for_each(remove_nulls);
         }
-        Value::Array(items) => items.iter_mut().for_each(strip),
+        Value::Array(items) => items.iter_mut().for_each(remove_nulls),
         _ => {}
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(mut value: Value) -> Result<T, String> {
-    strip(&mut value);
+fn deserialize_without_nulls<T: serde::de::DeserializeOwned>(mut value: Value) -> Result<T, String> {
+    remove_nulls(&mut value);
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
 fn main() -> ExitCode {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut out = io::stdout().lock();
     for (number, line) in io::stdin().lock().lines().enumerate() {
-        let reply = line.map_err(|e| e.to_string()).and_then(|line| host.batch(&line));
+        let reply = line.map_err(|e| e.to_string()).and_then(|line| adapter.handle_batch(&line));
         let written = match reply {
             Ok(reply) => writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| e.to_string()),
             Err(e) => Err(e),
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's messages and their plain translation to and from the interface.
+//! The simulator's JSON messages and their translation to and from the controller's interface.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-/// Events that reach an instance; others are skipped.
-pub const KNOWN: [&str; 10] = [
+/// Names of the events addressed to an instance; unknown events are skipped.
+pub const INSTANCE_EVENTS: [&str; 10] = [
     "Boot",
     "Announce",
     "Query",
@@ -32,7 +32,7 @@
 #[derive(Deserialize)]
 pub struct Directory {
     #[serde(rename = "Ref")]
-    pub list: u64,
+    pub list_number: u64,
     #[serde(rename = "RowsIn")]
     pub rows: Vec<Row>,
 }
@@ -47,7 +47,7 @@
     campus: Option<u32>,
 }
 
-pub fn entry(row: Row) -> Result<Entry, String> {
+pub fn parse_entry(row: Row) -> Result<Entry, String> {
     let health = match row.health.as_str() {
         "live" => Health::Live,
         "quiescing" => Health::Draining,
@@ -171,7 +171,7 @@
     marks_retry: Option<bool>,
 }
 
-fn ns(value: Option<u64>) -> Duration {
+fn duration_or_zero(value: Option<u64>) -> Duration {
     Duration::from_nanos(value.unwrap_or(0))
 }
 
@@ -179,7 +179,7 @@
     numbers.iter().copied().map(Place).collect()
 }
 
-fn class(index: usize, class: WireClass, domain: &Domain) -> Result<Class, String> {
+fn parse_class(index: usize, class: WireClass, domain: &Domain) -> Result<Class, String> {
     let effect = match class.effect.as_deref() {
         None | Some("safe") => Effect::Safe,
         Some("unsafe") => Effect::Unsafe,
@@ -189,7 +189,7 @@
                 Some("zone") => Scope::Zone,
                 _ => Scope::Place,
             };
-            Effect::Keyed(scope, ns(class.window_ns))
+            Effect::Keyed(scope, duration_or_zero(class.window_ns))
         }
         Some(other) => return Err(format!("unknown Effect {other:?}")),
     };
@@ -200,7 +200,7 @@
         late_share: class.late_share.unwrap_or(0.0),
         effect,
         width: domain.channels_needed.as_ref().and_then(|w| w.get(index).copied()).unwrap_or(1),
-        holding: ns(domain.class_hold_ns.as_ref().and_then(|h| h.get(index).copied())),
+        holding: duration_or_zero(domain.class_hold_ns.as_ref().and_then(|h| h.get(index).copied())),
         pools: domain
             .skilled_pools
             .as_ref()
@@ -209,7 +209,7 @@
     })
 }
 
-fn gauge(name: &str) -> Gauge {
+fn parse_gauge(name: &str) -> Gauge {
     match name {
         "spare" => Gauge::Spare,
         "total" => Gauge::Total,
@@ -223,16 +223,16 @@
     }
 }
 
-pub fn settings(info: Info) -> Result<Settings, String> {
+pub fn parse_settings(info: Info) -> Result<Settings, String> {
     let domain = info.domain;
     let own = domain.own_number.and_then(|n| u32::try_from(n).ok());
     let topology = match (domain.topology.as_deref(), own) {
         (Some("groups"), _) | (None, None) => Topology::Groups,
         (Some("meshed") | None, Some(own)) => Topology::Meshed(Place(own)),
-        (Some(other), _) => return Err(format!("Topology {other:?} without a fitting OwnNumber")),
+        (Some(other), _) => return Err(format!("Topology {other:?} is unknown or lacks a valid OwnNumber")),
     };
     let classes = info.classes.into_iter().enumerate();
-    let classes = classes.map(|(i, c)| class(i, c, &domain)).collect::<Result<Vec<_>, _>>()?;
+    let classes = classes.map(|(i, c)| parse_class(i, c, &domain)).collect::<Result<Vec<_>, _>>()?;
     let tenants = info.orgs.into_iter();
     let (contract, limits, prices) = (info.contract, info.policy_limits, info.penalties);
     Ok(Settings {
@@ -242,15 +242,15 @@
         fleet_size: info.fleet_size.unwrap_or(0),
         me: info.me.unwrap_or(0),
         topology,
-        guard: ns(domain.guard_ns),
-        resend: ns(domain.resend_ns),
+        guard: duration_or_zero(domain.guard_ns),
+        resend: duration_or_zero(domain.resend_ns),
         contract: Contract {
-            drain_grace: ns(contract.drain_grace_ns),
+            drain_grace: duration_or_zero(contract.drain_grace_ns),
             cold_from: contract.cold_from.unwrap_or(0.0),
-            cold: ns(contract.cold_ns),
+            cold: duration_or_zero(contract.cold_ns),
             fall_multiple: contract.fall_multiple.unwrap_or(0.0),
-            fall: ns(contract.fall_ns),
-            ask_within: ns(contract.ask_within_ns),
+            fall: duration_or_zero(contract.fall_ns),
+            ask_within: duration_or_zero(contract.ask_within_ns),
         },
         limits: Limits {
             max_attempts: limits.max_attempts.unwrap_or(0),
@@ -258,9 +258,9 @@
             probes: limits.probes.unwrap_or(false),
             peers: limits.peers.unwrap_or(false),
             retry_after: limits.retry_after.unwrap_or(false),
-            max_retry_after: ns(limits.max_retry_after_ns),
+            max_retry_after: duration_or_zero(limits.max_retry_after_ns),
         },
-        gauges: info.stats.names.unwrap_or_default().iter().map(|n| gauge(n)).collect(),
+        gauges: info.stats.names.unwrap_or_default().iter().map(|n| parse_gauge(n)).collect(),
         penalties: Penalties {
             late_fail: prices.late_fail.unwrap_or(0.0),
             waste: prices.waste.unwrap_or(0.0),
@@ -270,7 +270,7 @@
         registry_asks: info.registry_mode.as_deref() == Some("ask"),
         marks_retry: info.clients.marks_retry.unwrap_or(false),
         advice: domain.advice.unwrap_or(false),
-        tick: ns(info.tick_ns),
+        tick: duration_or_zero(info.tick_ns),
     })
 }
 
@@ -279,7 +279,7 @@
 struct Announce {
     mode: String,
     #[serde(rename = "Ref")]
-    list: Option<u64>,
+    list_number: Option<u64>,
 }
 
 #[derive(Deserialize)]
@@ -329,11 +329,12 @@
     seq_no: u32,
 }
 
-fn report(values: Option<Vec<Option<f64>>>) -> Vec<f64> {
+/// Returns the figures of a load report; a figure that is null becomes -1.
+fn parse_load_report(values: Option<Vec<Option<f64>>>) -> Vec<f64> {
     values.unwrap_or_default().into_iter().map(|v| v.unwrap_or(-1.0)).collect()
 }
 
-fn status(text: &str) -> Result<Status, String> {
+fn parse_status(text: &str) -> Result<Status, String> {
     Ok(match text {
         "S" => Status::Ended,
         "E" => Status::Error,
@@ -347,7 +348,8 @@
     })
 }
 
-fn cause(why: u64) -> Option<Cause> {
+/// Translates `Why`; a full processor is 3, plus 16 for each millisecond of the wait that it asks for.
+fn parse_cause(why: u64) -> Option<Cause> {
     let wait = (why >= 16).then(|| Duration::from_millis(why / 16));
     match why {
         1 => Some(Cause::NoCircuit),
@@ -359,18 +361,23 @@
     }
 }
 
-fn place(number: Option<f64>) -> Option<Place> {
+/// Returns the place with this number; a negative number stands for no place.
+fn parse_place(number: Option<f64>) -> Option<Place> {
     number.filter(|n| *n >= 0.0 && *n <= f64::from(u32::MAX)).map(|n| Place(n as u32))
 }
 
-fn read<T: serde::de::DeserializeOwned>(value: Value) -> Result<T, String> {
+fn deserialize<T: serde::de::DeserializeOwned>(value: Value) -> Result<T, String> {
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
-pub fn event(op: &str, value: Value, lists: &BTreeMap<u64, Arc<Vec<Entry>>>) -> Result<Event, String> {
+pub fn parse_event(
+    op: &str,
+    value: Value,
+    directories: &BTreeMap<u64, Arc<Vec<Entry>>>,
+) -> Result<Event, String> {
     Ok(match op {
         "Announce" => {
-            let news: Announce = read(value)?;
+            let news: Announce = deserialize(value)?;
             let kind = match news.mode.as_str() {
                 "diff" => ListKind::Changes,
                 "snapshot" => ListKind::Full,
@@ -378,93 +385,97 @@
                 "error" => ListKind::Failed,
                 other => return Err(format!("unknown Mode {other:?}")),
             };
-            let entries = match (kind, news.list.and_then(|n| lists.get(&n))) {
+            let entries = match (kind, news.list_number.and_then(|n| directories.get(&n))) {
                 (ListKind::Failed, _) => Arc::default(),
                 (_, Some(list)) => Arc::clone(list),
-                (_, None) => return Err(format!("Announce of a list never given: {:?}", news.list)),
+                (_, None) => {
+                    return Err(format!("Announce refers to an unknown list: Ref {:?}", news.list_number))
+                }
             };
             Event::Directory { kind, entries }
         }
         "Query" => {
-            let q: Query = read(value)?;
+            let query: Query = deserialize(value)?;
             Event::Offered(Offer {
-                call: CallId(q.call),
-                class: q.kind,
-                tenant: q.org.unwrap_or(0),
-                number: q.route_key.unwrap_or_default(),
-                remaining: Duration::from_nanos(q.remaining_ns),
-                dest: place(q.called_node).ok_or("no CalledNode")?,
-                width: q.units.filter(|u| *u >= 0.0).map(|u| u as u32),
-                via: place(q.hop),
-                again: q.again_by_client.unwrap_or(false),
-                transit: q.in_transit.unwrap_or(false),
-                reconnect: q.reconnect.unwrap_or(false),
+                call: CallId(query.call),
+                class: query.kind,
+                tenant: query.org.unwrap_or(0),
+                number: query.route_key.unwrap_or_default(),
+                remaining: Duration::from_nanos(query.remaining_ns),
+                dest: parse_place(query.called_node).ok_or("missing or invalid field `CalledNode`")?,
+                width: query.units.filter(|u| *u >= 0.0).map(|u| u as u32),
+                via: parse_place(query.hop),
+                again: query.again_by_client.unwrap_or(false),
+                transit: query.in_transit.unwrap_or(false),
+                reconnect: query.reconnect.unwrap_or(false),
             })
         }
         "ReportBack" => {
-            let r: ReportBack = read(value)?;
+            let report_back: ReportBack = deserialize(value)?;
             Event::Ended(Outcome {
-                call: CallId(r.call),
-                seq: r.seq_no,
-                exchange: ExchangeId(r.exchange),
-                status: status(&r.status)?,
-                took: Duration::from_nanos(r.time_taken_ns),
-                complete: r.complete,
-                cause: r.why.and_then(cause),
-                report: report(r.gauge),
+                call: CallId(report_back.call),
+                seq: report_back.seq_no,
+                exchange: ExchangeId(report_back.exchange),
+                status: parse_status(&report_back.status)?,
+                took: Duration::from_nanos(report_back.time_taken_ns),
+                complete: report_back.complete,
+                cause: report_back.why.and_then(parse_cause),
+                report: parse_load_report(report_back.gauge),
             })
         }
         "Sampled" => {
-            let s: Sampled = read(value)?;
+            let sample: Sampled = deserialize(value)?;
             Event::Sampled {
-                exchange: ExchangeId(s.exchange),
-                ok: s.status == "S",
-                took: Duration::from_nanos(s.time_taken_ns),
-                report: report(s.gauge),
+                exchange: ExchangeId(sample.exchange),
+                ok: sample.status == "S",
+                took: Duration::from_nanos(sample.time_taken_ns),
+                report: parse_load_report(sample.gauge),
             }
         }
         "Accepted" => {
-            let a: Accepted = read(value)?;
+            let accepted: Accepted = deserialize(value)?;
             Event::Stands {
-                call: CallId(a.call),
-                seq: a.seq_no,
-                exchange: ExchangeId(a.exchange),
-                took: Duration::from_nanos(a.time_taken_ns),
+                call: CallId(accepted.call),
+                seq: accepted.seq_no,
+                exchange: ExchangeId(accepted.exchange),
+                took: Duration::from_nanos(accepted.time_taken_ns),
             }
         }
-        "Expired" => Event::CallerGone(CallId(text(&value, "Call")?.into())),
+        "Expired" => Event::CallerGone(CallId(string_field(&value, "Call")?.into())),
         "PeerData" => Event::Peer {
-            from: number(&value, "By")?.try_into().map_err(|_| "By out of range")?,
-            payload: text(&value, "Payload")?.to_owned(),
+            from: integer_field(&value, "By")?.try_into().map_err(|_| "field `By` is out of range")?,
+            payload: string_field(&value, "Payload")?.to_owned(),
         },
-        "Fired" => Event::Timer(Token(number(&value, "Token")?)),
-        other => return Err(format!("no translation for {other:?}")),
+        "Fired" => Event::Timer(Token(integer_field(&value, "Token")?)),
+        other => return Err(format!("unsupported event {other:?}")),
     })
 }
 
-fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, String> {
-    value.get(key).and_then(Value::as_str).ok_or_else(|| format!("no {key}"))
+fn string_field<'a>(value: &'a Value, key: &str) -> Result<&'a str, String> {
+    value.get(key).and_then(Value::as_str).ok_or_else(|| format!("missing or invalid field `{key}`"))
 }
 
-fn number(value: &Value, key: &str) -> Result<u64, String> {
-    value.get(key).and_then(Value::as_u64).ok_or_else(|| format!("no {key}"))
+fn integer_field(value: &Value, key: &str) -> Result<u64, String> {
+    value.get(key).and_then(Value::as_u64).ok_or_else(|| format!("missing or invalid field `{key}`"))
 }
 
-fn nanos(time: Duration) -> u64 {
+fn nanoseconds(time: Duration) -> u64 {
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-pub fn order(name: &str, action: Action) -> Value {
+pub fn encode_order(name: &str, action: Action) -> Value {
     let mut order = match action {
         Action::Send { call, to, until } => {
-            json!({"op": "Transmit", "Call": *call.0, "Exchange": *to.0, "UntilNs": nanos(until)})
+            json!({"op": "Transmit", "Call": *call.0, "Exchange": *to.0, "UntilNs": nanoseconds(until)})
         }
         Action::Refuse { call, stay_away } => {
-            json!({"op": "OverloadReply", "Call": *call.0, "CoolDownNs": stay_away.map(nanos)})
+            json!({"op": "OverloadReply", "Call": *call.0, "CoolDownNs": stay_away.map(nanoseconds)})
         }
         Action::Fail(call) => json!({"op": "Lose", "Call": *call.0}),
         Action::Cancel { call, seq } => json!({"op": "Retract", "Call": *call.0, "SeqNo": seq}),
-        Action::Timer { after, token } => json!({"op": "Sleep", "InNs": nanos(after), "Token": token.0}),
+        Action::Timer { after, token } => {
+            json!({"op": "Sleep", "InNs": nanoseconds(after), "Token": token.0})
+        }
         Action::Probe(exchange) => json!({"op": "Check", "Exchange": *exchange.0}),
         Action::TellAll(payload) => json!({"op": "Share", "Dst": "*", "Payload": payload}),
         Action::Watch => json!({"op": "Track", "Enable": true}),
