--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the router in the OpenMetrics text format, for the console and the log.
+//! Counters of the router, written in the OpenMetrics text format for the console and the log.
 
 use std::fmt;
 
@@ -6,37 +6,37 @@
 use prometheus_client::metrics::{counter::Counter, family::Family};
 use prometheus_client::registry::Registry;
 
-/// Why something was done: a fixed word, so that the number of series stays small.
+/// Label with the reason of an event. Reasons are fixed words, which keeps the number of series small.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Reason {
+struct ReasonLabel {
     reason: &'static str,
 }
 
-/// A final answer: its status and who decided it.
+/// Labels of a final answer: its status and what decided it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Answer {
+struct AnswerLabels {
     status: u32,
     reason: &'static str,
 }
 
-/// How an attempt at an exchange ended.
+/// Label with the way in which an attempt at an exchange ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Outcome {
+struct OutcomeLabel {
     outcome: &'static str,
 }
 
-/// All counters, from the start of the process.
+/// Counters since the start of the process.
 pub struct Metrics {
     registry: Registry,
     requests: Counter,
     attempts: Counter,
-    answers: Family<Answer, Counter>,
-    outcomes: Family<Outcome, Counter>,
-    protocol_errors: Family<Reason, Counter>,
-    dropped: Family<Reason, Counter>,
-    client_closes: Family<Reason, Counter>,
-    exchange_closes: Family<Reason, Counter>,
-    discovery_closes: Family<Reason, Counter>,
+    answers: Family<AnswerLabels, Counter>,
+    attempt_outcomes: Family<OutcomeLabel, Counter>,
+    protocol_errors: Family<ReasonLabel, Counter>,
+    dropped_requests: Family<ReasonLabel, Counter>,
+    client_closes: Family<ReasonLabel, Counter>,
+    exchange_closes: Family<ReasonLabel, Counter>,
+    discovery_closes: Family<ReasonLabel, Counter>,
 }
 
 impl fmt::Debug for Metrics {
@@ -52,9 +52,9 @@
             requests: Counter::default(),
             attempts: Counter::default(),
             answers: Family::default(),
-            outcomes: Family::default(),
+            attempt_outcomes: Family::default(),
             protocol_errors: Family::default(),
-            dropped: Family::default(),
+            dropped_requests: Family::default(),
             client_closes: Family::default(),
             exchange_closes: Family::default(),
             discovery_closes: Family::default(),
@@ -74,63 +74,67 @@
             "Final answers by status and by what decided them",
             self.answers.clone(),
         );
-        registry.register("attempt_outcomes", "Ends of attempts and of calls", self.outcomes.clone());
+        registry.register("attempt_outcomes", "Ends of attempts and of calls", self.attempt_outcomes.clone());
         registry.register("protocol_errors", "Rejected client messages", self.protocol_errors.clone());
-        registry.register("dropped_requests", "Set-ups that lost their connection", self.dropped.clone());
+        registry.register(
+            "dropped_requests",
+            "Set-ups that lost their connection",
+            self.dropped_requests.clone(),
+        );
         registry.register("client_closes", "Ended client connections", self.client_closes.clone());
         registry.register("exchange_closes", "Ended exchange connections", self.exchange_closes.clone());
         registry.register("discovery_closes", "Ended coordinator connections", self.discovery_closes.clone());
     }
 
-    /// A set-up was taken.
+    /// Counts a set-up taken from a client.
     pub fn count_request(&self) {
         self.requests.inc();
     }
 
-    /// A set-up was sent to an exchange.
+    /// Counts a set-up sent to an exchange.
     pub fn count_attempt(&self) {
         self.attempts.inc();
     }
 
-    /// A final answer was written.
+    /// Counts a final answer written to a client.
     pub fn count_answer(&self, status: u16, reason: &'static str) {
-        self.answers.get_or_create(&Answer { status: u32::from(status), reason }).inc();
+        self.answers.get_or_create(&AnswerLabels { status: u32::from(status), reason }).inc();
     }
 
-    /// An attempt, or the call that it set up, has ended.
-    pub fn count_outcome(&self, outcome: &'static str) {
-        self.outcomes.get_or_create(&Outcome { outcome }).inc();
+    /// Counts an attempt that was answered or ended, or the end of the call that it set up.
+    pub fn count_attempt_outcome(&self, outcome: &'static str) {
+        self.attempt_outcomes.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// A client's message was rejected.
+    /// Counts a rejected client message.
     pub fn count_protocol_error(&self, reason: &'static str) {
-        self.protocol_errors.get_or_create(&Reason { reason }).inc();
+        self.protocol_errors.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// A set-up lost its client connection before its answer.
-    pub fn count_dropped(&self, reason: &'static str) {
-        self.dropped.get_or_create(&Reason { reason }).inc();
+    /// Counts a set-up whose client connection closed before the answer.
+    pub fn count_dropped_request(&self, reason: &'static str) {
+        self.dropped_requests.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// A client connection has ended.
+    /// Counts a closed client connection.
     pub fn count_client_close(&self, reason: &'static str) {
-        self.client_closes.get_or_create(&Reason { reason }).inc();
+        self.client_closes.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// A connection to an exchange has ended.
+    /// Counts a closed connection to an exchange.
     pub fn count_exchange_close(&self, reason: &'static str) {
-        self.exchange_closes.get_or_create(&Reason { reason }).inc();
+        self.exchange_closes.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// A connection to the coordinator has ended.
+    /// Counts a closed connection to the coordinator.
     pub fn count_discovery_close(&self, reason: &'static str) {
-        self.discovery_closes.get_or_create(&Reason { reason }).inc();
+        self.discovery_closes.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// All counters as OpenMetrics text.
+    /// Returns all counters as OpenMetrics text.
     pub fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -277,7 +277,7 @@
         for id in dropped {
             let (call, reason) = (&*id.0, reason.as_str());
             warn!(self.log, "request dropped"; "call_id" => call, "connection_id" => client, "reason" => reason);
-            self.metrics.count_dropped(reason);
+            self.metrics.count_dropped_request(reason);
             self.withdraw(now, &id, false);
         }
         // Guards against releases lost in a close that crossed them.
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -20,7 +20,7 @@
             "LOAD" => self.core.handle_load_report(now, exchange, report),
             "STARTED" => {
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
-                self.metrics.count_outcome("stands");
+                self.metrics.count_attempt_outcome("stands");
                 let description = line.blob.as_deref().unwrap_or_default().into();
                 self.core.handle_reply(now, exchange, &id, Reply::Stands(description));
             }
@@ -30,7 +30,7 @@
                 let cause = line.note.as_deref().and_then(cause_of);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
                     "status" => ?status, "cause" => ?line.cause, "note" => line.note.as_deref().unwrap_or(""));
-                self.metrics.count_outcome(outcome_name(status));
+                self.metrics.count_attempt_outcome(outcome_name(status));
                 self.core.handle_reply(now, exchange, &id, Reply::Ended { status, cause, report });
                 if stood {
                     self.answer(exchange, conn, &jsonl::plain("FINISHED", &id.0, None));
@@ -139,7 +139,7 @@
         if self.core.calls.open.get(id).is_some_and(|c| !c.stands) {
             debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
                 "status" => ?status);
-            self.metrics.count_outcome(outcome_name(status));
+            self.metrics.count_attempt_outcome(outcome_name(status));
             let reply = Reply::Ended { status, cause: None, report: Vec::new() };
             self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
