--- a/src/bin/quartzspindle-adapter/main.rs
+++ b/src/bin/quartzspindle-adapter/main.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quartzspindle::interface::{Action, Entry, Event};
+use quartzspindle::interface::{Action, DirectoryEntry, Event};
 use quartzspindle::Controller;
 use serde_json::{json, Value};
 
@@ -24,7 +24,7 @@
     /// such an instance are ignored.
     controllers: BTreeMap<String, Option<Controller>>,
     /// Directory lists by number (`Ref`), to which `Announce` events refer.
-    directories: BTreeMap<u64, Arc<Vec<Entry>>>,
+    directories: BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
 }
 
 impl Adapter {
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -12,7 +12,8 @@
 use super::exchanges::Exchanges;
 use super::timers::TimerQueue;
 use crate::interface::{
-    Action, CallId, Cause, Entry, Event, ExchangeId, ListKind, Offer, Outcome, Status, Token,
+    Action, AttemptStatus, CallId, DirectoryEntry, Event, ExchangeId, FailureCause, OfferedCall, Outcome,
+    TimerToken, UpdateKind,
 };
 use crate::Controller;
 
@@ -27,7 +28,7 @@
     /// Source of the request, to which the answer goes.
     pub origin: Origin,
     /// Description of the call for the controller.
-    pub offer: Offer,
+    pub offer: OfferedCall,
     /// Session description, passed on unchanged.
     pub description: Arc<str>,
 }
@@ -40,9 +41,9 @@
     /// The attempt, or the call that it established, has ended.
     Ended {
         /// How it ended.
-        status: Status,
+        status: AttemptStatus,
         /// Why it ended, if the exchange said.
-        cause: Option<Cause>,
+        cause: Option<FailureCause>,
         /// Load report in the order of the configured gauges; empty if none came with the reply.
         report: Vec<f64>,
     },
@@ -118,7 +119,7 @@
 #[derive(Debug)]
 enum Timer {
     /// A timer of the controller is due.
-    Controller(Token),
+    Controller(TimerToken),
     /// The attempt with this number times out.
     AttemptTimeout(CallId, u32),
     /// The caller stops waiting for the answer.
@@ -189,10 +190,10 @@
     }
 
     /// Applies an update of the exchange directory.
-    pub fn update_directory(&mut self, now: Duration, kind: ListKind, entries: Vec<Entry>) {
+    pub fn update_directory(&mut self, now: Duration, kind: UpdateKind, entries: Vec<DirectoryEntry>) {
         self.advance_clock(now);
         let removed = self.exchanges.apply(kind, &entries);
-        self.events.push_back(Event::Directory { kind, entries: Arc::new(entries) });
+        self.events.push_back(Event::DirectoryUpdate { kind, entries: Arc::new(entries) });
         self.process_events();
         // A process that has ended can't release its calls, so they would stay established forever. A process
         // that has restarted releases its earlier calls itself on the next connection, and calls that are
@@ -216,7 +217,7 @@
             self.calls.open.iter().filter(|(_, c)| is_held_here(c)).map(|(id, _)| id.clone()).collect();
         affected.sort();
         for id in affected {
-            self.handle_reply(now, exchange, &id, ended_reply(Status::Reset));
+            self.handle_reply(now, exchange, &id, ended_reply(AttemptStatus::Reset));
         }
     }
 
@@ -237,7 +238,7 @@
         let call = Call {
             origin: request.origin,
             class: offer.class,
-            number: offer.number.clone(),
+            number: offer.called_number.clone(),
             description: request.description,
             deadline,
             attempt_count: 0,
@@ -245,7 +246,7 @@
             stands: false,
         };
         self.calls.open.insert(id, call);
-        self.events.push_back(Event::Offered(offer));
+        self.events.push_back(Event::CallOffered(offer));
         self.process_events();
     }
 
@@ -265,10 +266,10 @@
         }
         let Some(call) = call else { return };
         if !call.stands {
-            self.events.push_back(Event::CallerGone(id.clone()));
+            self.events.push_back(Event::CallAbandoned(id.clone()));
         }
         if let Some(attempt) = attempt {
-            self.queue_outcome(id, &attempt, Status::Cancelled, None, Vec::new(), true);
+            self.queue_outcome(id, &attempt, AttemptStatus::Cancelled, None, Vec::new(), true);
         }
         self.process_events();
     }
@@ -288,7 +289,12 @@
                 self.effects.push(Effect::Answer { origin, call: id.clone(), description });
                 let took = self.now.saturating_sub(attempt.sent_at);
                 let (call, exchange) = (id.clone(), attempt.exchange);
-                self.events.push_back(Event::Stands { call, seq: attempt.seq, exchange, took });
+                self.events.push_back(Event::CallEstablished {
+                    call,
+                    attempt_number: attempt.seq,
+                    exchange,
+                    elapsed: took,
+                });
             }
             (None, Reply::Stands(_)) => {
                 // The set-up was abandoned while this answer was in flight, or was sent before this router
@@ -305,8 +311,11 @@
                 let was_established = call.stands;
                 if was_established {
                     let origin = Some(call.origin);
-                    let cause =
-                        if status == Status::Ended { CAUSE_NORMAL_CLEARING } else { CAUSE_TEMPORARY_FAILURE };
+                    let cause = if status == AttemptStatus::Ended {
+                        CAUSE_NORMAL_CLEARING
+                    } else {
+                        CAUSE_TEMPORARY_FAILURE
+                    };
                     self.effects.push(Effect::ReleaseAtClient { origin, call: id.clone(), cause });
                     self.calls.end(id, self.now);
                 }
@@ -318,8 +327,11 @@
                 if !known {
                     // The call was established before this router started.
                     self.calls.mark_ended(id, self.now);
-                    let cause =
-                        if status == Status::Ended { CAUSE_NORMAL_CLEARING } else { CAUSE_TEMPORARY_FAILURE };
+                    let cause = if status == AttemptStatus::Ended {
+                        CAUSE_NORMAL_CLEARING
+                    } else {
+                        CAUSE_TEMPORARY_FAILURE
+                    };
                     self.effects.push(Effect::ReleaseAtClient { origin: None, call: id.clone(), cause });
                 }
             }
@@ -337,7 +349,7 @@
     /// Handles a message from another controller.
     pub fn handle_peer_message(&mut self, now: Duration, from: u32, payload: String) {
         self.advance_clock(now);
-        self.events.push_back(Event::Peer { from, payload });
+        self.events.push_back(Event::PeerMessage { from, payload });
         self.process_events();
     }
 
@@ -346,7 +358,7 @@
         self.advance_clock(now);
         while let Some(due) = self.timers.pop_due(self.now) {
             match due {
-                Timer::Controller(token) => self.events.push_back(Event::Timer(token)),
+                Timer::Controller(token) => self.events.push_back(Event::TimerExpired(token)),
                 Timer::AttemptTimeout(id, seq) => self.time_out_attempt(&id, seq),
                 Timer::RequestDeadline(id) => self.fail_overdue_request(&id),
             }
@@ -370,7 +382,7 @@
         let Some(call) = self.calls.open.get_mut(id).filter(|c| !c.stands) else { return };
         let Some(attempt) = call.attempt.take_if(|a| a.seq == seq) else { return };
         self.release_attempt(id, &attempt);
-        self.queue_outcome(id, &attempt, Status::TimedOut, None, Vec::new(), false);
+        self.queue_outcome(id, &attempt, AttemptStatus::TimedOut, None, Vec::new(), false);
     }
 
     /// Answers a request whose deadline has passed. Rule 1 requires one final answer to every request, even
@@ -384,7 +396,7 @@
             self.release_attempt(id, attempt);
         }
         self.effects.push(Effect::Fail { origin: call.origin, call: id.clone() });
-        self.events.push_back(Event::CallerGone(id.clone()));
+        self.events.push_back(Event::CallAbandoned(id.clone()));
     }
 
     /// Abandons a pending attempt at its exchange.
@@ -402,27 +414,29 @@
         &mut self,
         id: &CallId,
         attempt: &Attempt,
-        status: Status,
-        cause: Option<Cause>,
+        status: AttemptStatus,
+        cause: Option<FailureCause>,
         report: Vec<f64>,
         complete: bool,
     ) {
-        self.events.push_back(Event::Ended(Outcome {
+        self.events.push_back(Event::AttemptEnded(Outcome {
             call: id.clone(),
-            seq: attempt.seq,
+            attempt_number: attempt.seq,
             exchange: attempt.exchange.clone(),
             status,
-            took: self.now.saturating_sub(attempt.sent_at),
-            complete,
-            cause,
-            report,
+            elapsed: self.now.saturating_sub(attempt.sent_at),
+            call_ended: complete,
+            failure_cause: cause,
+            load_report: report,
         }));
     }
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { call, to, until } => self.send_attempt(&call, to, until),
-            Action::Refuse { call, stay_away } => {
+            Action::SendSetUp { call, exchange, give_up_at } => {
+                self.send_attempt(&call, exchange, give_up_at)
+            }
+            Action::Refuse { call, hold_off: stay_away } => {
                 if let Some(Call { origin, .. }) = self.end_unanswered(&call) {
                     self.effects.push(Effect::Refuse { origin, call, stay_away });
                 }
@@ -432,19 +446,19 @@
                     self.effects.push(Effect::Fail { origin, call });
                 }
             }
-            Action::Cancel { call, seq } => {
+            Action::Cancel { call, attempt_number: seq } => {
                 let open = self.calls.open.get_mut(&call).filter(|c| !c.stands);
                 let Some(attempt) = open.and_then(|c| c.attempt.take_if(|a| a.seq == seq)) else { return };
                 self.release_attempt(&call, &attempt);
-                self.queue_outcome(&call, &attempt, Status::Cancelled, None, Vec::new(), false);
+                self.queue_outcome(&call, &attempt, AttemptStatus::Cancelled, None, Vec::new(), false);
             }
-            Action::Timer { after, token } => {
+            Action::StartTimer { after, token } => {
                 self.timers.schedule(self.now + after, Timer::Controller(token))
             }
-            Action::TellAll(text) => self.effects.push(Effect::TellAll(text)),
+            Action::Broadcast(text) => self.effects.push(Effect::TellAll(text)),
             Action::Log(line) => self.effects.push(Effect::Log(line)),
             // The directory is pushed to the router, and exchanges offer no probe.
-            Action::Watch | Action::Probe(_) => {}
+            Action::Subscribe | Action::Probe(_) => {}
         }
     }
 
@@ -469,7 +483,7 @@
         let attempt = Attempt { exchange: exchange.clone(), seq: call.attempt_count, sent_at: self.now };
         call.attempt_count += 1;
         if !is_listed || call.attempt.is_some() || call.stands || until <= self.now {
-            return self.queue_outcome(id, &attempt, Status::Moot, None, Vec::new(), false);
+            return self.queue_outcome(id, &attempt, AttemptStatus::Moot, None, Vec::new(), false);
         }
         self.timers.schedule(until, Timer::AttemptTimeout(id.clone(), attempt.seq));
         call.attempt = Some(attempt);
@@ -485,10 +499,15 @@
 }
 
 /// Returns a reply that the attempt or call ended, without cause and load report.
-pub fn ended_reply(status: Status) -> Reply {
+pub fn ended_reply(status: AttemptStatus) -> Reply {
     Reply::Ended { status, cause: None, report: Vec::new() }
 }
 
 fn sampled_event(exchange: &ExchangeId, report: Vec<f64>) -> Event {
-    Event::Sampled { exchange: exchange.clone(), ok: true, took: Duration::ZERO, report }
+    Event::LoadReported {
+        exchange: exchange.clone(),
+        probe_answered: true,
+        elapsed: Duration::ZERO,
+        load_report: report,
+    }
 }
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -2,15 +2,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{Entry, ExchangeId, Health, ListKind, Place, Settings, Topology};
+use crate::interface::{DirectoryEntry, ExchangeId, Health, NodeNumber, Settings, Topology, UpdateKind};
 
 /// Listed exchanges with their latest directory entries, and the places that calls can go to.
 #[derive(Debug, Default)]
 pub struct Exchanges {
-    entries: BTreeMap<ExchangeId, Entry>,
+    entries: BTreeMap<ExchangeId, DirectoryEntry>,
     /// Every place that was ever listed or that the settings name. Places are never removed; they stay few,
     /// since a replaced exchange keeps its place.
-    places: BTreeSet<Place>,
+    places: BTreeSet<NodeNumber>,
     /// Number of places of a mesh, all of which are served even if not listed; 0 without a mesh.
     meshed_place_count: u32,
 }
@@ -28,14 +28,14 @@
     }
 
     /// Applies a directory update; returns the exchanges that it removed from the list.
-    pub fn apply(&mut self, kind: ListKind, entries: &[Entry]) -> Vec<ExchangeId> {
-        let whole = matches!(kind, ListKind::Full | ListKind::Stored);
+    pub fn apply(&mut self, kind: UpdateKind, entries: &[DirectoryEntry]) -> Vec<ExchangeId> {
+        let whole = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         let listed = |id: &ExchangeId| entries.iter().any(|e| e.exchange == *id);
         let before: Vec<ExchangeId> = self.entries.keys().cloned().collect();
         // A replaced exchange comes back under a new id, so the list would grow forever if old ids were kept.
         self.entries.retain(|id, _| !whole || listed(id));
         for entry in entries {
-            self.places.insert(entry.place);
+            self.places.insert(entry.node);
             if entry.health == Health::Gone {
                 self.entries.remove(&entry.exchange);
             } else {
@@ -46,12 +46,12 @@
     }
 
     /// Returns the entries of all listed exchanges.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.entries.values()
     }
 
     /// Returns `true` if calls can go to the place, now or once its exchange is listed again.
-    pub fn serves(&self, place: Place) -> bool {
+    pub fn serves(&self, place: NodeNumber) -> bool {
         place.0 < self.meshed_place_count || self.places.contains(&place)
     }
 
