--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -468,7 +468,9 @@
 pub fn encode_order(name: &str, action: Action) -> Value {
     let mut order = match action {
         Action::SendSetUp { call, exchange, give_up_at } => {
-            json!({"op": "Transmit", "Call": *call.0, "Exchange": *exchange.0, "UntilNs": to_nanos(give_up_at)})
+            json!({
+                "op": "Transmit", "Call": *call.0, "Exchange": *exchange.0, "UntilNs": to_nanos(give_up_at)
+            })
         }
         Action::Refuse { call, hold_off } => {
             json!({"op": "OverloadReply", "Call": *call.0, "CoolDownNs": hold_off.map(to_nanos)})
