--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -27,7 +27,7 @@
             }
             "BYE" => {
                 // After a restart it is not known which calls stand; the release is passed on all the same.
-                let known = self.core.calls.open.contains_key(&id) || self.core.calls.is_over(&id);
+                let known = self.core.calls.open.contains_key(&id) || self.core.calls.has_ended(&id);
                 let status = if known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
                 self.releases.remove(&id);
@@ -74,7 +74,7 @@
             }
             return self.reject(client, 482, &echoed, "id of another set-up");
         }
-        if self.core.calls.is_over(&id) {
+        if self.core.calls.has_ended(&id) {
             return self.reject(client, 482, &echoed, "id of a set-up that is over");
         }
         if let Some(place) = dest.filter(|d| !self.core.exchanges.serves(*d)) {
@@ -95,7 +95,7 @@
         self.clients.begin(client, id);
         let request = Request { origin: Origin(client), offer, description: description.into() };
         match dest {
-            Some(_) => self.core.request(now, request),
+            Some(_) => self.core.handle_request(now, request),
             None => self.look_up(now, request),
         }
     }
@@ -180,7 +180,7 @@
                 Resolution::RouteTo(place) => {
                     request.offer.destination = place;
                     request.offer.remaining = deadline.saturating_sub(now);
-                    platform.core.request(now, request);
+                    platform.core.handle_request(now, request);
                 }
                 Resolution::NotFound => platform.answer_unrouted(&id, 404),
                 Resolution::Unknown => platform.answer_unrouted(&id, 503),
@@ -203,7 +203,7 @@
             self.take_invite(id).is_some()
         };
         if is_open {
-            self.core.hang_up(now, id, CLEARED);
+            self.core.hang_up(now, id, CAUSE_NORMAL_CLEARING);
         }
     }
 
@@ -278,7 +278,7 @@
         for id in dropped {
             let (call, reason) = (&*id.0, reason.as_str());
             warn!(self.log, "request dropped"; "call_id" => call, "connection_id" => client, "reason" => reason);
-            self.metrics.count_dropped(reason);
+            self.metrics.count_dropped_request(reason);
             self.withdraw(now, &id, false);
         }
         // Guards against releases lost in a close that crossed them.
