--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -10,7 +10,7 @@
 
 /// Tolerance added to every time limit that is checked on the sockets.
 const TIMING_TOLERANCE: Duration = Duration::from_millis(50);
-/// An answer up to this long after a request's deadline only costs the call's worth; after that the request
+/// An answer up to this long after a request's deadline only costs the call its value; after that the request
 /// counts as lost.
 const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
 /// A request written at most this long before its connection closed may have crossed the close. It is sent
@@ -88,7 +88,7 @@
     pub description: String,
     /// Time that the client waits for the final answer, sent in `X-Ring-Limit`.
     pub ring_limit: Duration,
-    /// Place of the exchange that serves the called number.
+    /// Node number of the exchange that serves the called number.
     pub destination: u32,
 }
 
@@ -130,8 +130,8 @@
 /// Identifies a connection from the router to an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExchangeConnection {
-    /// Place of the exchange.
-    pub place: u32,
+    /// Node number of the exchange.
+    pub node: u32,
     /// Number of the connection at that exchange.
     pub number: u64,
 }
@@ -418,7 +418,7 @@
     ) {
         self.counts.attempts += 1;
         let id = &set_up.call_id;
-        if connection.place == self.rules.own_place {
+        if connection.node == self.rules.own_node {
             self.report_violation(Rule::Content, format!("{id}: attempt sent to the router's own exchange"));
         }
         self.check_drain(exchange, first_byte_at, id);
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -42,7 +42,7 @@
     /// Id of the exchange.
     pub id: u32,
     /// Place of the exchange.
-    pub place: u32,
+    pub node: u32,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its state from now on.
@@ -108,11 +108,11 @@
     }
 
     /// Publishes a change.
-    pub fn publish(&self, id: u32, place: u32, address: SocketAddr, state: State, born_ms: u64) {
+    pub fn publish(&self, id: u32, node: u32, address: SocketAddr, state: State, born_ms: u64) {
         let number = self.last() + 1;
-        self.events.borrow_mut().push(Event { number, id, place, address, state, born_ms });
+        self.events.borrow_mut().push(Event { number, id, node, address, state, born_ms });
         let mut checker = self.checker.borrow_mut();
-        checker.record_event(format!("membership {number}: s-{id:08x} at place {place} {state:?}"));
+        checker.record_event(format!("membership {number}: s-{id:08x} at node {node} {state:?}"));
         match state {
             State::Ready => checker.on_listed_ready(id),
             _ if self.mode.get() == Mode::Serving => {
@@ -264,7 +264,7 @@
     frame.extend(event.address.port().to_be_bytes());
     frame.push(event.state as u8);
     frame.extend([0, 0]);
-    frame.extend((event.place as u16).to_be_bytes());
+    frame.extend((event.node as u16).to_be_bytes());
     frame.extend(1000_u32.to_be_bytes());
     frame.extend(event.born_ms.to_be_bytes());
     frame
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -1,7 +1,8 @@
-//! An emulated booking exchange behind a faulty network: its scripted answers, and the proxy in front of it
-//! that cuts, delays, resets and chops what passes.
+//! An emulated booking exchange behind a faulty network.
 //!
-//! The checker sees each message where it passes the proxy on the router's side.
+//! The exchange draws its answers at random. Its network side can be cut off, can delay, close and reset
+//! connections, and can write messages in pieces. The checker sees each message on the router's side of the
+//! network: when it arrives from the router, or when it is written to the router.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -21,298 +22,306 @@
 use crate::checker::{AttemptOutcome, ExchangeConnection, Rule, RuleChecker, SetUp};
 use crate::scenario::{Party, Scenario};
 
-/// The protocol's limit of connections to one exchange.
+/// Most connections that the protocol allows to one exchange.
 const MAX_CONNECTIONS: usize = 4;
-/// A closed connection may be noticed this much later than a new one.
-const CLOSE_NOTICE: Duration = Duration::from_millis(60);
-/// How often states that change by time are looked at.
-const POLL: Duration = Duration::from_millis(5);
-/// Set-ups a second that a warm exchange bears from this router.
-const CAPACITY_PER_S: f64 = 30.0;
-/// A cold exchange's capacity: at its start, and how long until it is warm, s.
-const COLD_FROM: f64 = 0.28;
-const COLD_S: f64 = 14.0;
-
-/// What is written towards the router.
-enum Out {
-    /// A line, and what it tells.
-    Line(String, Told),
-    /// Bytes that are no whole line.
+/// Time after which connections are counted when there are too many, since the exchange may notice a closed
+/// one later than a new one.
+const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(60);
+/// Interval at which tasks check for faults that have begun or ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Set-ups per second that an exchange can handle from this router once it has warmed up.
+const WARM_CAPACITY_PER_S: f64 = 30.0;
+/// Share of its capacity that an exchange has right after its start.
+const COLD_CAPACITY_SHARE: f64 = 0.28;
+/// Time from the start of an exchange until it has its full capacity, in seconds.
+const WARM_UP_S: f64 = 14.0;
+
+/// Item in the queue of a connection to the router.
+enum Outgoing {
+    /// A line, and the change to record once it is written.
+    Line(String, CallChange),
+    /// Bytes that are not a whole, valid line.
     Raw(Vec<u8>),
-    /// The connection is closed by the exchange.
+    /// Closes the connection.
     Close,
 }
 
-/// What a line tells of a call.
-enum Told {
-    Nothing,
+/// Change in the state of a call that a line reports to the router.
+enum CallChange {
+    Unchanged,
     AttemptEnded(String, AttemptOutcome),
 }
 
 #[derive(Debug, Clone, Copy)]
 struct CallState {
     connection: u64,
-    stands: bool,
+    is_established: bool,
 }
 
-/// An exchange.
+/// An emulated exchange and the network in front of it.
 pub struct Exchange {
-    me: Weak<Self>,
+    weak_self: Weak<Self>,
     checker: Rc<RefCell<RuleChecker>>,
     scenario: Rc<Scenario>,
     rng: RefCell<Rng>,
-    /// Its place in the network.
-    pub place: u32,
-    /// Where it listens.
+    /// Node number in the network.
+    pub node: u32,
+    /// Address that the exchange listens on.
     pub address: SocketAddr,
     id: Cell<u32>,
-    born: Cell<Option<Instant>>,
-    process: Cell<u64>,
-    is_dead: Cell<bool>,
+    started_at: Cell<Option<Instant>>,
+    process_number: Cell<u64>,
+    is_stopped: Cell<bool>,
     is_hung: Cell<bool>,
-    is_cut: Cell<bool>,
-    holds_connects: Cell<bool>,
-    closes_early: Cell<bool>,
-    /// A fault is under way; another one is passed over.
-    pub is_busy: Cell<bool>,
-    mended: Notify,
-    resets: watch::Sender<u64>,
-    next_connection: Cell<u64>,
-    connections: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Out>>>,
+    is_network_cut: Cell<bool>,
+    is_delaying_connects: Cell<bool>,
+    is_closing_early: Cell<bool>,
+    /// A fault of this exchange is under way; another one that comes meanwhile is skipped.
+    pub has_active_fault: Cell<bool>,
+    network_restored: Notify,
+    reset_signal: watch::Sender<u64>,
+    last_connection: Cell<u64>,
+    connections: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Outgoing>>>,
     calls: RefCell<HashMap<String, CallState>>,
-    /// Releases that the router has not confirmed: they come again on each connection opened.
-    unconfirmed: RefCell<Vec<String>>,
+    /// Call ids of releases that the router has not confirmed; they are sent again on each new connection.
+    unconfirmed_releases: RefCell<Vec<String>>,
 }
 
-fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+fn bind_listener(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(1)
 }
 
-/// Milliseconds since the Unix epoch.
-pub fn unix_ms() -> u64 {
+/// Returns the milliseconds since the Unix epoch.
+pub fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
 impl Exchange {
-    /// Starts an exchange at a place.
+    /// Starts an exchange at a node.
     ///
     /// # Errors
-    /// What the socket reports.
+    /// Returns the socket's error if the exchange can't listen.
     pub fn start(
         checker: Rc<RefCell<RuleChecker>>,
         scenario: Rc<Scenario>,
-        place: u32,
+        node: u32,
     ) -> io::Result<Rc<Self>> {
-        let listener = listen(scenario.address(Party::Exchanges))?;
+        let listener = bind_listener(scenario.address(Party::Exchanges))?;
         let address = listener.local_addr()?;
-        let exchange = Rc::new_cyclic(|me| Self {
-            me: me.clone(),
+        let exchange = Rc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             checker,
-            rng: RefCell::new(Rng::with_seed(scenario.seed * 1000 + u64::from(place))),
+            rng: RefCell::new(Rng::with_seed(scenario.seed * 1000 + u64::from(node))),
             scenario,
-            place,
+            node,
             address,
-            id: Cell::new(0x1000 + place),
-            born: Cell::new(None),
-            process: Cell::new(0),
-            is_dead: Cell::new(false),
+            id: Cell::new(0x1000 + node),
+            started_at: Cell::new(None),
+            process_number: Cell::new(0),
+            is_stopped: Cell::new(false),
             is_hung: Cell::new(false),
-            is_cut: Cell::new(false),
-            holds_connects: Cell::new(false),
-            closes_early: Cell::new(false),
-            is_busy: Cell::new(false),
-            mended: Notify::new(),
-            resets: watch::Sender::new(0),
-            next_connection: Cell::new(0),
+            is_network_cut: Cell::new(false),
+            is_delaying_connects: Cell::new(false),
+            is_closing_early: Cell::new(false),
+            has_active_fault: Cell::new(false),
+            network_restored: Notify::new(),
+            reset_signal: watch::Sender::new(0),
+            last_connection: Cell::new(0),
             connections: RefCell::default(),
             calls: RefCell::default(),
-            unconfirmed: RefCell::default(),
+            unconfirmed_releases: RefCell::default(),
         });
-        tokio::task::spawn_local(exchange.clone().accept(listener));
-        tokio::task::spawn_local(exchange.clone().tell_state());
+        tokio::task::spawn_local(exchange.clone().accept_connections(listener));
+        tokio::task::spawn_local(exchange.clone().report_load());
         Ok(exchange)
     }
 
-    /// Its id in the membership.
+    /// Returns the exchange's id in the membership.
     pub fn id(&self) -> u32 {
         self.id.get()
     }
 
     // ---- faults -----------------------------------------------------------------------------------
 
-    /// Takes everything and answers nothing for a while.
+    /// Accepts connections and messages but answers nothing for the given time.
     pub async fn hang(&self, length: Duration) {
         self.is_hung.set(true);
         sleep(length).await;
         self.is_hung.set(false);
     }
 
-    /// Returns once it does not hang.
-    async fn outlast_hang(&self) {
+    /// Waits until the exchange no longer hangs.
+    async fn wait_while_hung(&self) {
         while self.is_hung.get() {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The network is cut for a while; what was sent meanwhile arrives when it is mended.
-    pub async fn cut(&self, length: Duration) {
-        self.is_cut.set(true);
+    /// Cuts the network off for the given time. What is sent meanwhile arrives when it is restored.
+    pub async fn cut_network(&self, length: Duration) {
+        self.is_network_cut.set(true);
         sleep(length).await;
-        self.mend();
+        self.restore_network();
     }
 
-    fn mend(&self) {
-        self.is_cut.set(false);
-        self.mended.notify_waiters();
+    fn restore_network(&self) {
+        self.is_network_cut.set(false);
+        self.network_restored.notify_waiters();
     }
 
-    /// The machine falls silent, and comes back as a new process that knows nothing; returns its start.
-    pub async fn vanish(&self, length: Duration) -> u64 {
-        self.is_cut.set(true);
+    /// Cuts the machine off without closing its connections, and starts a new process without state after the
+    /// given time. Returns the start time of that process in Unix milliseconds.
+    pub async fn fail_silently(&self, length: Duration) -> u64 {
+        self.is_network_cut.set(true);
         sleep(length).await;
-        self.die(true);
-        self.mend();
-        self.revive(false)
+        self.stop_process(true);
+        self.restore_network();
+        self.start_process(false)
     }
 
-    /// New connections come up late for a while.
+    /// Leaves new connections pending for the given time; those still waiting at its end are reset.
     pub async fn delay_connects(&self, length: Duration) {
-        self.holds_connects.set(true);
+        self.is_delaying_connects.set(true);
         sleep(length).await;
-        self.holds_connects.set(false);
+        self.is_delaying_connects.set(false);
     }
 
-    /// Connections are closed soon after they come up for a while.
+    /// Closes new connections soon after they are accepted, for the given time.
     pub async fn close_early(&self, length: Duration) {
-        self.closes_early.set(true);
+        self.is_closing_early.set(true);
         sleep(length).await;
-        self.closes_early.set(false);
+        self.is_closing_early.set(false);
     }
 
     /// Resets all connections.
     pub fn reset_connections(&self) {
-        self.resets.send_modify(|n| *n += 1);
+        self.reset_signal.send_modify(|n| *n += 1);
     }
 
-    /// The process ends: its connections are reset, its calls are cut. A machine that comes back sends their
-    /// releases on the next connection opened; one that is gone for good sends none.
-    pub fn die(&self, comes_back: bool) {
-        self.is_dead.set(true);
-        self.process.set(self.process.get() + 1);
+    /// Ends the process, which resets its connections and ends its calls. If it restarts, the releases of
+    /// these calls are sent on the next new connection; otherwise none is sent.
+    pub fn stop_process(&self, will_restart: bool) {
+        self.is_stopped.set(true);
+        self.process_number.set(self.process_number.get() + 1);
         let mut checker = self.checker.borrow_mut();
-        for (call, state) in self.calls.take() {
-            match (state.stands, comes_back) {
-                (false, _) => checker.on_attempt_ended(&call, self.id(), AttemptOutcome::Reset),
-                (true, false) => checker.on_call_orphaned(&call),
+        for (call_id, state) in self.calls.take() {
+            match (state.is_established, will_restart) {
+                (false, _) => checker.on_attempt_ended(&call_id, self.id(), AttemptOutcome::Reset),
+                (true, false) => checker.on_call_orphaned(&call_id),
                 (true, true) => {
-                    checker.on_call_ended(&call);
-                    self.unconfirmed.borrow_mut().push(call);
+                    checker.on_call_ended(&call_id);
+                    self.unconfirmed_releases.borrow_mut().push(call_id);
                 }
             }
         }
-        if !comes_back {
-            self.unconfirmed.take().iter().for_each(|call| checker.on_call_orphaned(call));
+        if !will_restart {
+            self.unconfirmed_releases.take().iter().for_each(|call_id| checker.on_call_orphaned(call_id));
         }
         drop(checker);
         self.reset_connections();
     }
 
-    /// A new process starts, under a new id or the same; returns its start, Unix milliseconds.
-    pub fn revive(&self, new_id: bool) -> u64 {
+    /// Starts a new process under a new id or the same one. Returns its start time in Unix milliseconds.
+    pub fn start_process(&self, new_id: bool) -> u64 {
         if new_id {
             self.id.set(self.id.get() + 0x1000);
         }
-        self.born.set(Some(Instant::now()));
-        self.is_dead.set(false);
-        unix_ms()
+        self.started_at.set(Some(Instant::now()));
+        self.is_stopped.set(false);
+        unix_time_ms()
     }
 
-    // ---- the proxy --------------------------------------------------------------------------------
+    // ---- the network ------------------------------------------------------------------------------
 
-    async fn accept(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         let mut listener = Some(listener);
         let mut fillers: Vec<TcpStream> = Vec::new();
-        let mut was_held = false;
+        let mut was_holding = false;
         loop {
-            let held = self.is_cut.get() || self.holds_connects.get();
-            was_held |= held;
+            let is_holding = self.is_network_cut.get() || self.is_delaying_connects.get();
+            was_holding |= is_holding;
             let Some(open) = &listener else {
-                if !self.is_dead.get() {
-                    listener = listen(self.address).ok();
+                if !self.is_stopped.get() {
+                    listener = bind_listener(self.address).ok();
                 }
-                sleep(POLL).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             };
-            if self.is_dead.get() {
+            if self.is_stopped.get() {
                 (listener, fillers) = (None, Vec::new());
-            } else if held {
+            } else if is_holding {
                 self.fill_backlog(&mut fillers).await;
-            } else if let Ok(Ok((stream, peer))) = tokio::time::timeout(POLL, open.accept()).await {
-                // Whatever got into the backlog while it was held has waited there unseen.
+            } else if let Ok(Ok((stream, peer))) = tokio::time::timeout(POLL_INTERVAL, open.accept()).await {
+                // Connections of the router that waited in the backlog while none was accepted are reset.
                 let is_filler = fillers.iter().any(|f| f.local_addr().is_ok_and(|a| a == peer));
-                if was_held && !is_filler {
+                if was_holding && !is_filler {
                     let _ = stream.set_zero_linger();
-                } else if !is_filler && !self.is_dead.get() {
-                    self.clone().admit(stream);
+                } else if !is_filler && !self.is_stopped.get() {
+                    self.clone().start_connection(stream);
                 }
             } else {
-                (fillers, was_held) = (Vec::new(), false);
+                (fillers, was_holding) = (Vec::new(), false);
             }
         }
     }
 
-    /// While nothing is accepted and the backlog is full, connects neither succeed nor fail.
+    /// Keeps the listener's backlog full, so that connection attempts of the router neither succeed nor fail.
     async fn fill_backlog(&self, fillers: &mut Vec<TcpStream>) {
-        match tokio::time::timeout(POLL, TcpStream::connect(self.address)).await {
+        match tokio::time::timeout(POLL_INTERVAL, TcpStream::connect(self.address)).await {
             Ok(Ok(stream)) if fillers.len() < 8 => fillers.push(stream),
-            _ => sleep(POLL).await,
+            _ => sleep(POLL_INTERVAL).await,
         }
     }
 
-    fn admit(self: Rc<Self>, stream: TcpStream) {
-        let number = self.next_connection.get() + 1;
-        self.next_connection.set(number);
+    fn start_connection(self: Rc<Self>, stream: TcpStream) {
+        let number = self.last_connection.get() + 1;
+        self.last_connection.set(number);
         let (sender, receiver) = mpsc::unbounded_channel();
-        let _ = sender.send(Out::Line(self.state_line(), Told::Nothing));
-        for call in self.unconfirmed.borrow().iter() {
-            let _ = sender.send(Out::Line(release_line(call), Told::Nothing));
+        let _ = sender.send(Outgoing::Line(self.load_line(), CallChange::Unchanged));
+        for call_id in self.unconfirmed_releases.borrow().iter() {
+            let _ = sender.send(Outgoing::Line(release_line(call_id), CallChange::Unchanged));
         }
         self.connections.borrow_mut().insert(number, sender);
-        if self.closes_early.get() {
-            let me = self.clone();
-            let life = Duration::from_millis(self.rng.borrow_mut().u64(0..120));
+        if self.is_closing_early.get() {
+            let exchange = self.clone();
+            let open_time = Duration::from_millis(self.rng.borrow_mut().u64(0..120));
             tokio::task::spawn_local(async move {
-                sleep(life).await;
-                me.send(number, Out::Close);
+                sleep(open_time).await;
+                exchange.send(number, Outgoing::Close);
             });
         }
-        tokio::task::spawn_local(self.clone().check_connections());
-        tokio::task::spawn_local(self.run(stream, number, receiver));
+        tokio::task::spawn_local(self.clone().check_connection_count());
+        tokio::task::spawn_local(self.run_connection(stream, number, receiver));
     }
 
-    async fn check_connections(self: Rc<Self>) {
+    async fn check_connection_count(self: Rc<Self>) {
         if self.connections.borrow().len() <= MAX_CONNECTIONS {
             return;
         }
-        sleep(CLOSE_NOTICE).await;
+        sleep(CLOSE_DETECTION_DELAY).await;
         let open = self.connections.borrow().len();
         if open > MAX_CONNECTIONS {
-            let text = format!("{open} connections to the exchange at place {}", self.place);
+            let text = format!("{open} connections to the exchange at node {}", self.node);
             self.checker.borrow_mut().report_violation(Rule::Connections, text);
         }
     }
 
-    async fn run(self: Rc<Self>, stream: TcpStream, number: u64, receiver: mpsc::UnboundedReceiver<Out>) {
+    async fn run_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        number: u64,
+        receiver: mpsc::UnboundedReceiver<Outgoing>,
+    ) {
         let _ = stream.set_nodelay(true);
-        let mut resets = self.resets.subscribe();
+        let mut reset_signal = self.reset_signal.subscribe();
         let (mut reader, mut writer) = stream.into_split();
         let is_reset = tokio::select! {
-            () = self.read(&mut reader, number) => false,
-            () = self.write(&mut writer, receiver) => false,
-            _ = resets.changed() => true,
+            () = self.read_lines(&mut reader, number) => false,
+            () = self.write_lines(&mut writer, receiver) => false,
+            _ = reset_signal.changed() => true,
         };
         if is_reset {
             let _ = writer.as_ref().set_zero_linger();
@@ -320,30 +329,30 @@
         }
         drop(reader);
         self.connections.borrow_mut().remove(&number);
-        // A closed connection gives up the set-ups open on it; calls that stand go on.
-        self.calls.borrow_mut().retain(|_, s| s.connection != number || s.stands);
+        // A close ends the set-ups that are open on the connection; established calls go on.
+        self.calls.borrow_mut().retain(|_, s| s.connection != number || s.is_established);
         self.checker.borrow_mut().on_exchange_connection_closed(self.connection_id(number));
     }
 
     fn connection_id(&self, number: u64) -> ExchangeConnection {
-        ExchangeConnection { place: self.place, number }
+        ExchangeConnection { node: self.node, number }
     }
 
-    async fn read(&self, reader: &mut OwnedReadHalf, number: u64) {
+    async fn read_lines(&self, reader: &mut OwnedReadHalf, number: u64) {
         let (mut bytes, mut input) = (Vec::new(), vec![0; 8192]);
         let mut held: Vec<Value> = Vec::new();
-        let mut begun = Instant::now();
+        let mut first_byte_at = Instant::now();
         loop {
             let read = tokio::select! {
                 read = reader.read(&mut input) => read,
-                () = self.mended.notified() => {
-                    held.drain(..).for_each(|message| self.on_message(&message, number));
+                () = self.network_restored.notified() => {
+                    held.drain(..).for_each(|message| self.handle_message(&message, number));
                     continue;
                 }
             };
             let Ok(n @ 1..) = read else { return };
             if bytes.is_empty() {
-                begun = Instant::now();
+                first_byte_at = Instant::now();
             }
             bytes.extend_from_slice(&input[..n]);
             while let Some(end) = bytes.iter().position(|b| *b == b'\n') {
@@ -354,19 +363,19 @@
                         .report_violation(Rule::Content, format!("no JSON line: {line:?}"));
                     continue;
                 };
-                self.observe(&message, begun, number);
-                if self.is_cut.get() {
+                self.check_message(&message, first_byte_at, number);
+                if self.is_network_cut.get() {
                     held.push(message);
                 } else {
-                    self.on_message(&message, number);
+                    self.handle_message(&message, number);
                 }
-                begun = Instant::now();
+                first_byte_at = Instant::now();
             }
         }
     }
 
-    /// What the rules see of a message, when it leaves the router.
-    fn observe(&self, message: &Value, begun: Instant, number: u64) {
+    /// Passes a message from the router on to the checker.
+    fn check_message(&self, message: &Value, first_byte_at: Instant, number: u64) {
         let text = |v: &Value| v.as_str().unwrap_or_default().to_owned();
         let (call_id, opts) = (text(&message["tag"]), &message["opts"]);
         let mut checker = self.checker.borrow_mut();
@@ -378,12 +387,15 @@
                     called_number: text(&opts["key"]),
                     description: text(&message["blob"]),
                 };
-                checker.on_attempt(self.id(), self.connection_id(number), begun, &set_up);
-                if let Some(born) = self.born.get().filter(|b| b.elapsed().as_secs_f64() < COLD_S) {
-                    let warmth = COLD_FROM + (1.0 - COLD_FROM) * born.elapsed().as_secs_f64() / COLD_S;
+                checker.on_attempt(self.id(), self.connection_id(number), first_byte_at, &set_up);
+                if let Some(started_at) =
+                    self.started_at.get().filter(|at| at.elapsed().as_secs_f64() < WARM_UP_S)
+                {
+                    let capacity_share = COLD_CAPACITY_SHARE
+                        + (1.0 - COLD_CAPACITY_SHARE) * started_at.elapsed().as_secs_f64() / WARM_UP_S;
                     checker.on_slow_start_set_up(
                         self.id(),
-                        2.0 * CAPACITY_PER_S * warmth,
+                        2.0 * WARM_CAPACITY_PER_S * capacity_share,
                         Duration::from_secs(1),
                     );
                 }
@@ -391,32 +403,36 @@
             "FINISH" => checker.on_attempt_ended(&call_id, self.id(), AttemptOutcome::Abandoned),
             "FINISHED" => checker.on_release_confirmed(&call_id),
             "ECHO" => checker
-                .report_violation(Rule::Probe, format!("the exchange at place {} was probed", self.place)),
+                .report_violation(Rule::Probe, format!("the exchange at node {} was probed", self.node)),
             _ => {}
         }
     }
 
-    /// Writes until the exchange closes the connection.
-    async fn write(&self, writer: &mut OwnedWriteHalf, mut receiver: mpsc::UnboundedReceiver<Out>) {
-        while let Some(out) = receiver.recv().await {
-            while self.is_cut.get() {
-                sleep(POLL).await;
+    /// Writes queued items until the exchange closes the connection.
+    async fn write_lines(
+        &self,
+        writer: &mut OwnedWriteHalf,
+        mut receiver: mpsc::UnboundedReceiver<Outgoing>,
+    ) {
+        while let Some(outgoing) = receiver.recv().await {
+            while self.is_network_cut.get() {
+                sleep(POLL_INTERVAL).await;
             }
-            let (bytes, told) = match out {
-                Out::Line(line, told) => (format!("{line}\n").into_bytes(), told),
-                Out::Raw(bytes) => (bytes, Told::Nothing),
-                Out::Close => return,
+            let (bytes, change) = match outgoing {
+                Outgoing::Line(line, change) => (format!("{line}\n").into_bytes(), change),
+                Outgoing::Raw(bytes) => (bytes, CallChange::Unchanged),
+                Outgoing::Close => return,
             };
-            if self.write_chopped(writer, &bytes).await.is_err() {
+            if self.write_in_pieces(writer, &bytes).await.is_err() {
                 return;
             }
-            if let Told::AttemptEnded(call, end) = told {
-                self.checker.borrow_mut().on_attempt_ended(&call, self.id(), end);
+            if let CallChange::AttemptEnded(call_id, outcome) = change {
+                self.checker.borrow_mut().on_attempt_ended(&call_id, self.id(), outcome);
             }
         }
     }
 
-    async fn write_chopped(&self, writer: &mut OwnedWriteHalf, bytes: &[u8]) -> io::Result<()> {
+    async fn write_in_pieces(&self, writer: &mut OwnedWriteHalf, bytes: &[u8]) -> io::Result<()> {
         if !self.scenario.pieces || self.rng.borrow_mut().u8(..3) > 0 {
             return writer.write_all(bytes).await;
         }
@@ -431,118 +447,128 @@
 
     // ---- the exchange -----------------------------------------------------------------------------
 
-    fn state_line(&self) -> String {
+    fn load_line(&self) -> String {
         json!({"verb": "LOAD", "tag": "", "opts": {"load": "spare:500;total:500;lat_ms:-1"}}).to_string()
     }
 
-    /// Tells the state of its group on all connections now and then.
-    async fn tell_state(self: Rc<Self>) {
+    /// Sends load reports on all connections at random intervals.
+    async fn report_load(self: Rc<Self>) {
         loop {
             let pause = self.rng.borrow_mut().u64(150..700);
             sleep(Duration::from_millis(pause)).await;
-            if !self.is_hung.get() && !self.is_dead.get() {
+            if !self.is_hung.get() && !self.is_stopped.get() {
                 for sender in self.connections.borrow().values() {
-                    let _ = sender.send(Out::Line(self.state_line(), Told::Nothing));
+                    let _ = sender.send(Outgoing::Line(self.load_line(), CallChange::Unchanged));
                 }
             }
         }
     }
 
-    fn on_message(&self, message: &Value, number: u64) {
-        let call = message["tag"].as_str().unwrap_or_default().to_owned();
+    fn handle_message(&self, message: &Value, number: u64) {
+        let call_id = message["tag"].as_str().unwrap_or_default().to_owned();
         match message["verb"].as_str().unwrap_or_default() {
-            "START" => self.on_set_up(call, number),
+            "START" => self.handle_set_up(call_id, number),
             "FINISH" => {
-                self.calls.borrow_mut().remove(&call);
-                self.unconfirmed.borrow_mut().retain(|c| *c != call);
+                self.calls.borrow_mut().remove(&call_id);
+                self.unconfirmed_releases.borrow_mut().retain(|c| *c != call_id);
                 self.send(
                     number,
-                    Out::Line(json!({"verb": "FINISHED", "tag": call}).to_string(), Told::Nothing),
+                    Outgoing::Line(
+                        json!({"verb": "FINISHED", "tag": call_id}).to_string(),
+                        CallChange::Unchanged,
+                    ),
                 );
             }
-            "FINISHED" => self.unconfirmed.borrow_mut().retain(|c| *c != call),
+            "FINISHED" => self.unconfirmed_releases.borrow_mut().retain(|c| *c != call_id),
             _ => {}
         }
     }
 
-    fn send(&self, number: u64, out: Out) -> bool {
-        self.connections.borrow().get(&number).is_some_and(|sender| sender.send(out).is_ok())
+    fn send(&self, number: u64, outgoing: Outgoing) -> bool {
+        self.connections.borrow().get(&number).is_some_and(|sender| sender.send(outgoing).is_ok())
     }
 
-    fn on_set_up(&self, call: String, number: u64) {
-        self.calls.borrow_mut().insert(call.clone(), CallState { connection: number, stands: false });
-        let (luck, delay) = {
+    fn handle_set_up(&self, call_id: String, number: u64) {
+        self.calls
+            .borrow_mut()
+            .insert(call_id.clone(), CallState { connection: number, is_established: false });
+        let (draw, delay) = {
             let mut rng = self.rng.borrow_mut();
             let longest = self.scenario.rules.classes[0].deadline.min(Duration::from_secs(2));
             let share = if rng.u8(..10) == 0 { 0.3 } else { 0.04 };
             (rng.f64(), longest.mul_f64(share * rng.f64()))
         };
-        let Some(me) = self.me.upgrade() else { return };
-        let process = self.process.get();
+        let Some(exchange) = self.weak_self.upgrade() else { return };
+        let process_number = self.process_number.get();
         tokio::task::spawn_local(async move {
             sleep(delay).await;
-            me.outlast_hang().await;
-            if me.process.get() == process && me.calls.borrow().get(&call).is_some_and(|s| !s.stands) {
-                me.answer(call, number, luck).await;
+            exchange.wait_while_hung().await;
+            if exchange.process_number.get() == process_number
+                && exchange.calls.borrow().get(&call_id).is_some_and(|s| !s.is_established)
+            {
+                exchange.respond(call_id, number, draw).await;
             }
         });
     }
 
-    async fn answer(self: Rc<Self>, call: String, number: u64, luck: f64) {
+    async fn respond(self: Rc<Self>, call_id: String, number: u64, draw: f64) {
         let ended = |rc: u32, note: &str| {
-            json!({"verb": "FINISH", "tag": call, "opts": {"note": note, "load": "spare:400;total:500;lat_ms:3"},
-                "rc": rc})
+            json!({"verb": "FINISH", "tag": call_id,
+                "opts": {"note": note, "load": "spare:400;total:500;lat_ms:3"}, "rc": rc})
             .to_string()
         };
-        let refuse = |line: String, end: AttemptOutcome| {
-            self.calls.borrow_mut().remove(&call);
-            self.send(number, Out::Line(line, Told::AttemptEnded(call.clone(), end)));
+        let refuse = |line: String, outcome: AttemptOutcome| {
+            self.calls.borrow_mut().remove(&call_id);
+            self.send(number, Outgoing::Line(line, CallChange::AttemptEnded(call_id.clone(), outcome)));
         };
-        match luck {
-            l if l < 0.02 => refuse(ended(34, "group_full"), AttemptOutcome::NotRun),
-            l if l < 0.03 => refuse(ended(34, "processor_full"), AttemptOutcome::NotRun),
-            l if l < 0.04 => refuse(ended(17, "user_busy"), AttemptOutcome::Failed),
-            l if l < 0.05 => refuse(ended(47, ""), AttemptOutcome::Failed),
-            l if l < 0.06 => refuse(ended(41, ""), AttemptOutcome::Reset),
-            l if l < 0.06 + self.scenario.spoilt => self.spoil(call, number).await,
-            _ => self.stand(call, number),
+        match draw {
+            draw if draw < 0.02 => refuse(ended(34, "group_full"), AttemptOutcome::NotRun),
+            draw if draw < 0.03 => refuse(ended(34, "processor_full"), AttemptOutcome::NotRun),
+            draw if draw < 0.04 => refuse(ended(17, "user_busy"), AttemptOutcome::Failed),
+            draw if draw < 0.05 => refuse(ended(47, ""), AttemptOutcome::Failed),
+            draw if draw < 0.06 => refuse(ended(41, ""), AttemptOutcome::Reset),
+            draw if draw < 0.06 + self.scenario.spoilt => self.send_faulty_answer(call_id, number).await,
+            _ => self.answer_call(call_id, number),
         }
     }
 
-    fn stand(self: Rc<Self>, call: String, number: u64) {
-        let line = self.standing_line(&call);
-        self.send(number, Out::Line(line, Told::AttemptEnded(call.clone(), AttemptOutcome::Answered)));
-        if let Some(state) = self.calls.borrow_mut().get_mut(&call) {
-            state.stands = true;
+    fn answer_call(self: Rc<Self>, call_id: String, number: u64) {
+        let line = self.started_line(&call_id);
+        self.send(
+            number,
+            Outgoing::Line(line, CallChange::AttemptEnded(call_id.clone(), AttemptOutcome::Answered)),
+        );
+        if let Some(state) = self.calls.borrow_mut().get_mut(&call_id) {
+            state.is_established = true;
         }
         let hold = Duration::from_millis(self.rng.borrow_mut().u64(50..2500));
-        let process = self.process.get();
+        let process_number = self.process_number.get();
         tokio::task::spawn_local(async move {
             sleep(hold).await;
-            self.outlast_hang().await;
-            if self.process.get() == process {
-                self.release(&call);
+            self.wait_while_hung().await;
+            if self.process_number.get() == process_number {
+                self.release_call(&call_id);
             }
         });
     }
 
-    fn standing_line(&self, call: &str) -> String {
-        let (nonce, long) = {
+    fn started_line(&self, call_id: &str) -> String {
+        let (nonce, is_long) = {
             let mut rng = self.rng.borrow_mut();
             (rng.u32(..), rng.u8(..20) == 0)
         };
-        let filler = if long { "m=audio 31000 RTP/AVP 0 8 101\r\n".repeat(300) } else { String::new() };
+        let filler = if is_long { "m=audio 31000 RTP/AVP 0 8 101\r\n".repeat(300) } else { String::new() };
         let description = format!("{nonce:08x}\r\nc=IN IP4 10.4.7.9\r\n\"ž\\ \u{1}\r\n{filler}");
-        self.checker.borrow_mut().on_exchange_description(call, &description);
-        json!({"verb": "STARTED", "tag": call, "opts": {}, "blob": description}).to_string()
+        self.checker.borrow_mut().on_exchange_description(call_id, &description);
+        json!({"verb": "STARTED", "tag": call_id, "opts": {}, "blob": description}).to_string()
     }
 
-    /// A call that stands comes to its end.
-    fn release(&self, call: &str) {
-        let Some(state) = self.calls.borrow_mut().remove(call) else { return };
-        self.checker.borrow_mut().on_call_ended(call);
-        self.unconfirmed.borrow_mut().push(call.to_owned());
-        let line = || Out::Line(release_line(call), Told::Nothing);
+    /// Ends an established call and sends its release.
+    fn release_call(&self, call_id: &str) {
+        let Some(state) = self.calls.borrow_mut().remove(call_id) else { return };
+        self.checker.borrow_mut().on_call_ended(call_id);
+        self.unconfirmed_releases.borrow_mut().push(call_id.to_owned());
+        let line = || Outgoing::Line(release_line(call_id), CallChange::Unchanged);
         if !self.send(state.connection, line()) {
             let other = self.connections.borrow().keys().next_back().copied();
             if let Some(number) = other {
@@ -551,46 +577,47 @@
         }
     }
 
-    /// An answer that is spoilt, cut off, doubled, late or missing.
-    async fn spoil(self: Rc<Self>, call: String, number: u64) {
+    /// Sends an answer that is malformed, truncated, duplicated or late, or sends none.
+    async fn send_faulty_answer(self: Rc<Self>, call_id: String, number: u64) {
         let kind = self.rng.borrow_mut().u8(..9);
-        let line = self.standing_line(&call);
-        let half = line.as_bytes()[..line.len() / 2].to_vec();
+        let line = self.started_line(&call_id);
+        let first_half = line.as_bytes()[..line.len() / 2].to_vec();
         match kind {
-            0 => drop(self.send(number, Out::Raw(b"\x01\x02%&{\n".to_vec()))),
-            1 => drop(self.send(number, Out::Raw(half))),
+            0 => drop(self.send(number, Outgoing::Raw(b"\x01\x02%&{\n".to_vec()))),
+            1 => drop(self.send(number, Outgoing::Raw(first_half))),
             2 => {
-                self.send(number, Out::Raw(half));
-                self.send(number, Out::Close);
+                self.send(number, Outgoing::Raw(first_half));
+                self.send(number, Outgoing::Close);
             }
             3 => self.reset_connections(),
             4 => {
-                self.clone().stand(call.clone(), number);
+                self.clone().answer_call(call_id.clone(), number);
                 sleep(Duration::from_millis(7)).await;
-                self.send(number, Out::Line(line, Told::Nothing));
+                self.send(number, Outgoing::Line(line, CallChange::Unchanged));
             }
             5 => {
-                let strange = json!({"verb": "STARTED", "tag": "ffffffffffffffff", "opts": {}, "blob": "x"});
-                self.send(number, Out::Line(strange.to_string(), Told::Nothing));
-                self.stand(call, number);
+                let unknown_call =
+                    json!({"verb": "STARTED", "tag": "ffffffffffffffff", "opts": {}, "blob": "x"});
+                self.send(number, Outgoing::Line(unknown_call.to_string(), CallChange::Unchanged));
+                self.answer_call(call_id, number);
             }
             6 => {
-                // The answer, and the end of its connection right behind it.
-                self.clone().stand(call, number);
-                self.send(number, Out::Close);
+                // The answer, and right after it the close of its connection.
+                self.clone().answer_call(call_id, number);
+                self.send(number, Outgoing::Close);
             }
             7 => {
                 sleep(Duration::from_millis(700)).await;
-                if self.calls.borrow().get(&call).is_some_and(|s| !s.stands) {
-                    self.stand(call, number);
+                if self.calls.borrow().get(&call_id).is_some_and(|s| !s.is_established) {
+                    self.answer_call(call_id, number);
                 }
             }
-            _ => {} // it never comes
+            _ => {} // no answer at all
         }
     }
 }
 
-fn release_line(call: &str) -> String {
-    json!({"verb": "FINISH", "tag": call, "opts": {"load": "spare:500;total:500;lat_ms:3"}, "rc": 16})
+fn release_line(call_id: &str) -> String {
+    json!({"verb": "FINISH", "tag": call_id, "opts": {"load": "spare:500;total:500;lat_ms:3"}, "rc": 16})
         .to_string()
 }
--- a/emulator/src/router.rs
+++ b/emulator/src/router.rs
@@ -73,7 +73,7 @@
     /// A configuration for a scenario.
     pub fn new(path: PathBuf, scenario: &Scenario, listen: SocketAddr) -> Self {
         let class = |c: &crate::scenario::ClassSettings| {
-            json!({"Name": c.name, "AimNs": nanos(c.aim), "DeadlineNs": nanos(c.deadline), "Worth": 1.0,
+            json!({"Name": c.name, "AimNs": nanos(c.target_delay), "DeadlineNs": nanos(c.deadline), "Worth": 1.0,
                 "LateShare": 0.2, "Effect": if c.is_safe { "safe" } else { "unsafe" }, "DedupScope": "all",
                 "Stream": true, "WindowNs": 5_000_000_000_u64})
         };
@@ -83,9 +83,9 @@
             "name": "n0", "listen": listen.to_string(), "seed": format!("{:016x}", scenario.seed),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": scenario.sockets},
             "settings": {
-                "Classes": classes, "FleetSize": scenario.exchanges, "Me": rules.own_place,
+                "Classes": classes, "FleetSize": scenario.exchanges, "Me": rules.own_node,
                 "Dcs": ["east"], "Clients": {"MarksRetry": true}, "TickNs": 5_000_000, "Zone": 0,
-                "Domain": {"OwnNumber": rules.own_place, "Topology": "meshed", "GuardNs": nanos(rules.guard),
+                "Domain": {"OwnNumber": rules.own_node, "Topology": "meshed", "GuardNs": nanos(rules.guard),
                     "ChannelsNeeded": rules.classes.iter().map(|_| 1).collect::<Vec<u32>>()},
                 "Stats": {"How": "answers", "Names": ["spare", "total", "lat_ms"]},
                 "Contract": {"DrainGraceNs": nanos(rules.drain_grace), "ColdFrom": 0.28,
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -80,7 +80,7 @@
     let coordinator = Coordinator::new(checker.clone(), &scenario);
     let address = coordinator.open().await?;
     let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchanges)
-        .map(|place| Exchange::start(checker.clone(), scenario.clone(), place))
+        .map(|node| Exchange::start(checker.clone(), scenario.clone(), node))
         .collect::<io::Result<_>>()?;
     let listen = free_address(&scenario).await?;
     let mut config = ConfigFile::new(dir.join(format!("soak-{seed}.json")), &scenario, listen);
@@ -158,47 +158,47 @@
             Step::Crowd(connections) => return self.clients.crowd(connections).await,
             _ => {}
         }
-        let (Step::Hang(place, _)
-        | Step::Vanish(place, _)
-        | Step::Cut(place, _)
-        | Step::LateConnects(place, _)
-        | Step::EarlyCloses(place, _)
-        | Step::ResetConnections(place)
-        | Step::Replace { place, .. }) = step
+        let (Step::Hang(node, _)
+        | Step::Vanish(node, _)
+        | Step::Cut(node, _)
+        | Step::LateConnects(node, _)
+        | Step::EarlyCloses(node, _)
+        | Step::ResetConnections(node)
+        | Step::Replace { place: node, .. }) = step
         else {
             return;
         };
-        let exchange = self.exchanges[place as usize].clone();
+        let exchange = self.exchanges[node as usize].clone();
         match step {
             Step::LateConnects(_, length) => return exchange.delay_connects(length).await,
             Step::ResetConnections(_) => return exchange.reset_connections(),
-            _ if exchange.is_busy.replace(true) => return,
+            _ if exchange.has_active_fault.replace(true) => return,
             _ => {}
         }
         match step {
             Step::Hang(_, length) => exchange.hang(length).await,
-            Step::Cut(_, length) => exchange.cut(length).await,
+            Step::Cut(_, length) => exchange.cut_network(length).await,
             Step::EarlyCloses(_, length) => exchange.close_early(length).await,
             Step::Vanish(_, length) => {
-                let born = exchange.vanish(length).await;
+                let born = exchange.fail_silently(length).await;
                 self.publish(&exchange, State::Ready, born);
             }
             Step::Replace { drain_for, gone_for, new_id, .. } => {
                 self.publish(&exchange, State::Draining, 0);
                 sleep(drain_for).await;
-                exchange.die(false);
+                exchange.stop_process(false);
                 self.publish(&exchange, State::Gone, 0);
                 sleep(gone_for).await;
-                let born = exchange.revive(new_id);
+                let born = exchange.start_process(new_id);
                 self.publish(&exchange, State::Ready, born);
             }
             _ => {}
         }
-        exchange.is_busy.set(false);
+        exchange.has_active_fault.set(false);
     }
 
     fn publish(&self, exchange: &Exchange, state: State, born_ms: u64) {
-        self.coordinator.publish(exchange.id(), exchange.place, exchange.address, state, born_ms);
+        self.coordinator.publish(exchange.id(), exchange.node, exchange.address, state, born_ms);
     }
 
     // ---- the process ------------------------------------------------------------------------------
@@ -215,15 +215,15 @@
                 Some(State::Gone) => continue,
             };
             let born = last.map_or(0, |e| e.born_ms);
-            hosts.push(self.host(exchange.id(), exchange.place, state, exchange.address, born));
+            hosts.push(self.host(exchange.id(), exchange.node, state, exchange.address, born));
         }
         let index = self.coordinator.last();
         json!({"index": index, "updates": [{"index": index, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]})
     }
 
-    fn host(&self, id: u32, place: u32, state: &str, address: SocketAddr, born_ms: u64) -> Value {
+    fn host(&self, id: u32, node: u32, state: &str, address: SocketAddr, born_ms: u64) -> Value {
         json!({"host": format!("s-{id:08x}"), "dial": address.to_string(), "site": "east", "class": "std",
-            "block": place, "health": state, "share": 1, "born_ms": born_ms})
+            "block": node, "health": state, "share": 1, "born_ms": born_ms})
     }
 
     fn start(&self) -> io::Result<Router> {
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -15,7 +15,7 @@
     /// Longest time that a client waits.
     pub deadline: Duration,
     /// A call that stands within this earns its full worth.
-    pub aim: Duration,
+    pub target_delay: Duration,
 }
 
 /// The figures of the rules.
@@ -30,7 +30,7 @@
     /// Refusals say how long to stay away.
     pub hold_off: bool,
     /// Place of the router's own exchange.
-    pub own_place: u32,
+    pub own_node: u32,
 }
 
 /// One fault or signal; places are numbers of exchanges.
@@ -154,8 +154,12 @@
     pub fn draw(seed: u64, active: Duration) -> Self {
         let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5151);
         let deadline = Duration::from_millis(DEADLINES_MS[(seed % 7) as usize]);
-        let class =
-            |name, is_safe, deadline: Duration| ClassSettings { name, is_safe, deadline, aim: deadline / 2 };
+        let class = |name, is_safe, deadline: Duration| ClassSettings {
+            name,
+            is_safe,
+            deadline,
+            target_delay: deadline / 2,
+        };
         let mut classes = vec![class("voice", true, deadline), class("family", true, deadline.mul_f64(0.8))];
         if rng.u8(..3) == 0 {
             classes.push(class("order", false, deadline));
@@ -165,7 +169,7 @@
             guard: Duration::from_millis(500),
             drain_grace: Duration::from_millis(500),
             hold_off: rng.u8(..8) > 0,
-            own_place: 0,
+            own_node: 0,
         };
         let mut scenario = Self {
             seed,
@@ -219,17 +223,17 @@
     }
 
     fn exchange_fault(&self, rng: &mut Rng) -> Step {
-        let place = rng.u32(1..self.exchanges);
+        let node = rng.u32(1..self.exchanges);
         let length = between(rng, 300, 4000);
         match rng.u8(..10) {
-            9 => Step::EarlyCloses(place, length),
-            0 | 1 => Step::Hang(place, length),
-            2 => Step::Vanish(place, length),
-            3 => Step::Cut(place, length),
-            4 => Step::LateConnects(place, length),
-            5 => Step::ResetConnections(place),
+            9 => Step::EarlyCloses(node, length),
+            0 | 1 => Step::Hang(node, length),
+            2 => Step::Vanish(node, length),
+            3 => Step::Cut(node, length),
+            4 => Step::LateConnects(node, length),
+            5 => Step::ResetConnections(node),
             _ => Step::Replace {
-                place,
+                place: node,
                 drain_for: between(rng, 200, 2500),
                 gone_for: between(rng, 200, 2500),
                 new_id: rng.bool(),
@@ -245,11 +249,14 @@
         }
         if rng.bool() {
             // A drain while connections are reset and come up late.
-            let (place, at) = (rng.u32(1..self.exchanges), between(rng, 300, self.active.as_millis() as u64));
-            self.add(at, Step::LateConnects(place, between(rng, 800, 2500)));
-            self.add(at + between(rng, 0, 50), Step::ResetConnections(place));
+            let (node, at) = (rng.u32(1..self.exchanges), between(rng, 300, self.active.as_millis() as u64));
+            self.add(at, Step::LateConnects(node, between(rng, 800, 2500)));
+            self.add(at + between(rng, 0, 50), Step::ResetConnections(node));
             let (drain_for, gone_for) = (between(rng, 1500, 3000), between(rng, 300, 1500));
-            self.add(at + between(rng, 50, 600), Step::Replace { place, drain_for, gone_for, new_id: false });
+            self.add(
+                at + between(rng, 50, 600),
+                Step::Replace { place: node, drain_for, gone_for, new_id: false },
+            );
         }
         for _ in 0..rng.u32(0..=2) {
             let (at, count) = (between(rng, 1200, self.active.as_millis() as u64), rng.u32(1..=4));
@@ -265,9 +272,9 @@
             self.add(at, step);
             // Drains close to its return.
             let near = (at + length).saturating_sub(between(rng, 0, 600)) + between(rng, 0, 300);
-            let place = rng.u32(1..self.exchanges);
+            let node = rng.u32(1..self.exchanges);
             let (drain_for, gone_for) = (between(rng, 300, 1500), between(rng, 300, 1500));
-            self.add(near, Step::Replace { place, drain_for, gone_for, new_id: rng.bool() });
+            self.add(near, Step::Replace { place: node, drain_for, gone_for, new_id: rng.bool() });
         }
         if self.seed % 4 == 3 {
             self.sockets = 256;
