--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -339,7 +339,7 @@
         if is_forbidden && !is_safe && !cancelled {
             self.report_violation(Rule::Repeat, format!("{id}: {status} though an attempt may have run"));
         }
-        if matches!(status, 480 | 503) && hold_off.is_none() && self.rules.hold_off {
+        if matches!(status, 480 | 503) && hold_off.is_none() && self.rules.hold_off_required {
             self.report_violation(Rule::HoldOff, format!("{id}: {status} without X-Hold-Off"));
         }
         if !cancelled && now > sent_at + ring_limit + TIMING_TOLERANCE {
@@ -479,7 +479,7 @@
                     violations.push((Rule::OneAttempt, text));
                 }
                 Some((at, AttemptOutcome::Reset | AttemptOutcome::Abandoned))
-                    if first_byte_at + TIMING_TOLERANCE < at + self.rules.guard =>
+                    if first_byte_at + TIMING_TOLERANCE < at + self.rules.guard_time =>
                 {
                     let text = format!(
                         "{id}: sent {:?} after an attempt was reset, timed out or cancelled",
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -73,11 +73,11 @@
             is_active: Cell::new(true),
             scenario,
         });
-        for _ in 0..clients.scenario.connections {
+        for _ in 0..clients.scenario.client_connections {
             tokio::task::spawn_local(clients.clone().keep_connection());
         }
         tokio::task::spawn_local(clients.clone().generate());
-        if clients.scenario.bad_clients {
+        if clients.scenario.has_bad_clients {
             tokio::task::spawn_local(clients.clone().misbehave());
         }
         clients
@@ -182,7 +182,7 @@
         let (gives_up, closes, resets, after) = {
             let mut rng = self.rng.borrow_mut();
             (
-                rng.f64() < self.scenario.impatient,
+                rng.f64() < self.scenario.abandon_share,
                 rng.u8(..4) == 0,
                 rng.bool(),
                 request.ring_limit.mul_f64(rng.f64()),
@@ -255,7 +255,7 @@
         let repeats = self.rng.borrow_mut().u32(..=MAX_REPEATS);
         let Some(me) = self.this().filter(|_| repeats > 0) else { return };
         tokio::task::spawn_local(async move {
-            if !me.scenario.pushy {
+            if !me.scenario.ignores_hold_off {
                 sleep(Duration::from_millis(hold_off.unwrap_or(500))).await;
             }
             if me.is_active.get() && me.rng.borrow_mut().u8(..3) == 0 {
@@ -266,7 +266,7 @@
 
     async fn generate(self: Rc<Self>) {
         while self.is_active.get() {
-            let gap = -self.rng.borrow_mut().f64().max(1e-9).ln() / self.scenario.rate;
+            let gap = -self.rng.borrow_mut().f64().max(1e-9).ln() / self.scenario.requests_per_s;
             sleep(Duration::from_secs_f64(gap)).await;
             self.begin_request();
         }
@@ -290,7 +290,7 @@
             called_number: format!("+386{:08}", rng.u32(..100_000_000)),
             description: format!("{:016x}\r\nc=IN IP4 10.4.7.9\r\n\"q\\ ž\r\n{filler}", rng.u64(..)),
             ring_limit: ring_limit.max(Duration::from_millis(3)),
-            destination: if unknown { 77 } else { rng.u32(1..self.scenario.exchanges) },
+            destination: if unknown { 77 } else { rng.u32(1..self.scenario.exchange_count) },
         }
     }
 
@@ -302,7 +302,7 @@
             (rng.u8(..100), rng.usize(2..6), rng.u64(1..80), rng.usize(..))
         };
         let chopped = Pace::Pieces(pieces, Duration::from_millis(pause));
-        let pace = if self.scenario.pieces && kind % 3 == 0 { chopped } else { Pace::AtOnce };
+        let pace = if self.scenario.has_split_writes && kind % 3 == 0 { chopped } else { Pace::AtOnce };
         let kept = self.kept.borrow();
         if kind < 80 && !kept.is_empty() {
             self.send(kept[pick % kept.len()], Out::Request(request, pace));
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::checker::RuleChecker;
-use crate::scenario::{Party, Scenario};
+use crate::scenario::{Component, Scenario};
 
 /// An empty frame follows each second.
 const HEARTBEAT: Duration = Duration::from_secs(1);
@@ -83,8 +83,8 @@
             current: watch::Sender::new(0),
             generation: watch::Sender::new(0),
             break_amid: Cell::new(false),
-            listen: scenario.address(Party::Coordinator),
-            pieces: scenario.pieces,
+            listen: scenario.address(Component::Coordinator),
+            pieces: scenario.has_split_writes,
         })
     }
 
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, Instant};
 
 use crate::checker::{AttemptOutcome, ExchangeConnection, Rule, RuleChecker, SetUp};
-use crate::scenario::{Party, Scenario};
+use crate::scenario::{Component, Scenario};
 
 /// Most connections that the protocol allows to one exchange.
 const MAX_CONNECTIONS: usize = 4;
@@ -109,7 +109,7 @@
         scenario: Rc<Scenario>,
         node: u32,
     ) -> io::Result<Rc<Self>> {
-        let listener = bind_listener(scenario.address(Party::Exchanges))?;
+        let listener = bind_listener(scenario.address(Component::Exchanges))?;
         let address = listener.local_addr()?;
         let exchange = Rc::new_cyclic(|weak_self| Self {
             weak_self: weak_self.clone(),
@@ -433,7 +433,7 @@
     }
 
     async fn write_in_pieces(&self, writer: &mut OwnedWriteHalf, bytes: &[u8]) -> io::Result<()> {
-        if !self.scenario.pieces || self.rng.borrow_mut().u8(..3) > 0 {
+        if !self.scenario.has_split_writes || self.rng.borrow_mut().u8(..3) > 0 {
             return writer.write_all(bytes).await;
         }
         let piece = (bytes.len() / 4).max(1);
@@ -527,7 +527,9 @@
             draw if draw < 0.04 => refuse(ended(17, "user_busy"), AttemptOutcome::Failed),
             draw if draw < 0.05 => refuse(ended(47, ""), AttemptOutcome::Failed),
             draw if draw < 0.06 => refuse(ended(41, ""), AttemptOutcome::Reset),
-            draw if draw < 0.06 + self.scenario.spoilt => self.send_faulty_answer(call_id, number).await,
+            draw if draw < 0.06 + self.scenario.faulty_answer_share => {
+                self.send_faulty_answer(call_id, number).await
+            }
             _ => self.answer_call(call_id, number),
         }
     }
--- a/emulator/src/router.rs
+++ b/emulator/src/router.rs
@@ -81,16 +81,16 @@
         let classes: Vec<Value> = rules.classes.iter().map(class).collect();
         let value = json!({
             "name": "n0", "listen": listen.to_string(), "seed": format!("{:016x}", scenario.seed),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": scenario.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": scenario.max_descriptors},
             "settings": {
-                "Classes": classes, "FleetSize": scenario.exchanges, "Me": rules.own_node,
+                "Classes": classes, "FleetSize": scenario.exchange_count, "Me": rules.own_node,
                 "Dcs": ["east"], "Clients": {"MarksRetry": true}, "TickNs": 5_000_000, "Zone": 0,
-                "Domain": {"OwnNumber": rules.own_node, "Topology": "meshed", "GuardNs": nanos(rules.guard),
+                "Domain": {"OwnNumber": rules.own_node, "Topology": "meshed", "GuardNs": nanos(rules.guard_time),
                     "ChannelsNeeded": rules.classes.iter().map(|_| 1).collect::<Vec<u32>>()},
                 "Stats": {"How": "answers", "Names": ["spare", "total", "lat_ms"]},
                 "Contract": {"DrainGraceNs": nanos(rules.drain_grace), "ColdFrom": 0.28,
                     "ColdNs": 14_000_000_000_u64, "FallMultiple": 2.0, "FallNs": 1_000_000_000},
-                "PolicyLimits": {"MaxAttempts": 5, "Cancelling": true, "RetryAfter": rules.hold_off,
+                "PolicyLimits": {"MaxAttempts": 5, "Cancelling": true, "RetryAfter": rules.hold_off_required,
                     "MaxRetryAfterNs": 2_000_000_000, "ConnectTimeoutNs": nanos(scenario.connect_timeout)}}});
         Self { path, value }
     }
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -20,7 +20,7 @@
 use crate::coordinator::{Coordinator, State};
 use crate::exchange::Exchange;
 use crate::router::{ConfigFile, Router};
-use crate::scenario::{Party, Scenario, Step};
+use crate::scenario::{Component, Scenario, Step};
 use crate::sip;
 
 /// A start has to lead to a passed test within this.
@@ -79,7 +79,7 @@
     let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.rules.clone())));
     let coordinator = Coordinator::new(checker.clone(), &scenario);
     let address = coordinator.open().await?;
-    let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchanges)
+    let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchange_count)
         .map(|node| Exchange::start(checker.clone(), scenario.clone(), node))
         .collect::<io::Result<_>>()?;
     let listen = free_address(&scenario).await?;
@@ -103,7 +103,7 @@
     let (orders, receiver) = mpsc::unbounded_channel();
     let supervisor = tokio::task::spawn_local(run.clone().supervise(receiver));
     run.clone().play_timeline(&orders).await;
-    sleep(scenario.tail).await;
+    sleep(scenario.release_time).await;
     run.checker.borrow_mut().finish();
     let _ = orders.send(Order::Finish);
     supervisor.await.map_err(io::Error::other)??;
@@ -111,7 +111,7 @@
 }
 
 async fn free_address(scenario: &Scenario) -> io::Result<SocketAddr> {
-    TcpListener::bind(scenario.address(Party::Router)).await?.local_addr()
+    TcpListener::bind(scenario.address(Component::Router)).await?.local_addr()
 }
 
 impl Run {
@@ -146,7 +146,7 @@
                 }
             }
         }
-        sleep_until(begun + self.scenario.active).await;
+        sleep_until(begun + self.scenario.active_time).await;
         self.clients.rest();
     }
 
@@ -345,7 +345,7 @@
         let (memory, descriptors) = (router.memory_mb().unwrap_or(0), router.descriptors().unwrap_or(0));
         let mut peak = self.peak.borrow_mut();
         *peak = (peak.0.max(memory), peak.1.max(descriptors));
-        if memory > MEMORY_MB || descriptors > self.scenario.sockets as usize {
+        if memory > MEMORY_MB || descriptors > self.scenario.max_descriptors as usize {
             let text = format!("{memory} MB and {descriptors} descriptors held");
             checker.report_violation(Rule::Limits, text);
         }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,157 +1,157 @@
-//! What one run plays: settings, traffic and a timeline of faults, all drawn from its seed.
+//! Settings, traffic and timeline of faults of one run, all drawn from its seed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use fastrand::Rng;
 
-/// A class of calls, as the rules see it.
+/// Settings of a call class that the rules depend on.
 #[derive(Debug, Clone, Copy)]
 pub struct ClassSettings {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// It may be repeated and refused freely.
+    /// Calls may be repeated or refused even after an attempt may have run.
     pub is_safe: bool,
-    /// Longest time that a client waits.
+    /// Longest time that a client waits for the final answer.
     pub deadline: Duration,
-    /// A call that stands within this earns its full worth.
+    /// A call that is established within this time earns its full value.
     pub target_delay: Duration,
 }
 
-/// The figures of the rules.
+/// Settings that the rules depend on.
 #[derive(Debug, Clone)]
 pub struct RuleSettings {
-    /// Classes by number.
+    /// Call classes by index.
     pub classes: Vec<ClassSettings>,
-    /// Time between a reset, timed-out or cancelled attempt and the next.
-    pub guard: Duration,
-    /// Time after a told drain in which set-ups may still go out.
+    /// Shortest time from an attempt that was reset, timed out or cancelled to the next attempt.
+    pub guard_time: Duration,
+    /// Time after the router is informed of a drain during which it may still send set-ups.
     pub drain_grace: Duration,
-    /// Refusals say how long to stay away.
-    pub hold_off: bool,
-    /// Place of the router's own exchange.
+    /// Refusals have to tell the client how long to wait (`X-Hold-Off`).
+    pub hold_off_required: bool,
+    /// Node number of the router's own exchange.
     pub own_node: u32,
 }
 
-/// One fault or signal; places are numbers of exchanges.
+/// Step of a timeline: a fault or a signal. A fault of one exchange begins with the exchange's node number.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// SIGTERM, SIGKILL at the earliest time that the rules allow, and a new process later.
+    /// Sends SIGTERM, then SIGKILL at the earliest time that the rules allow, and starts a new process later.
     Terminate {
-        /// From the old process's end to the new one's start.
+        /// Time from the end of the old process to the start of the new one.
         restart_after: Duration,
-        /// A second SIGTERM comes shortly after the first.
+        /// Sends a second SIGTERM shortly after the first.
         twice: bool,
     },
-    /// SIGKILL without warning, and a new process later.
+    /// Sends SIGKILL without a SIGTERM before it, and starts a new process later.
     Kill {
-        /// From the kill to the new process's start.
+        /// Time from the end of the old process to the start of the new one.
         restart_after: Duration,
     },
-    /// New configurations in a row, each with another address of the coordinator.
+    /// Reloads the configuration several times, each time with another address of the coordinator.
     Reload {
-        /// How many.
+        /// Number of reloads.
         count: u32,
-        /// Time between two of them.
+        /// Time between two reloads.
         gap: Duration,
     },
-    /// The exchange takes everything and answers nothing.
+    /// The exchange accepts everything and answers nothing.
     Hang(u32, Duration),
-    /// Its machine falls silent and comes back as a new, cold process.
+    /// The exchange's machine goes silent, and comes back with a new process that has to warm up.
     Vanish(u32, Duration),
-    /// The network to it is cut, and mended.
+    /// The network to the exchange is cut off, and restored later.
     Cut(u32, Duration),
-    /// New connections to it come up late.
+    /// New connections to the exchange are not accepted for a while.
     LateConnects(u32, Duration),
-    /// New connections to it are closed soon after they come up, and idle ones now and then.
+    /// New connections to the exchange are closed soon after they are accepted.
     EarlyCloses(u32, Duration),
-    /// All connections to it are reset.
+    /// All connections to the exchange are reset.
     ResetConnections(u32),
-    /// It drains, goes and comes back.
+    /// The exchange drains, is removed and comes back.
     Replace {
-        /// Which exchange.
+        /// Node number of the exchange.
         place: u32,
-        /// From draining to gone.
+        /// Time from the drain to the removal.
         drain_for: Duration,
-        /// From gone to ready.
+        /// Time from the removal until the exchange is ready again.
         gone_for: Duration,
-        /// It comes back under a new id.
+        /// The exchange comes back under a new id.
         new_id: bool,
     },
-    /// The coordinator keeps its connections and says nothing.
+    /// The coordinator keeps its connections open and sends nothing.
     DiscoverySilent(Duration),
-    /// The coordinator is down: connections break, new ones are refused.
+    /// The coordinator is down: its connections are closed and new ones are refused.
     DiscoveryDown(Duration),
-    /// The coordinator breaks off in the middle of a frame.
+    /// The coordinator closes a connection in the middle of a frame.
     DiscoveryBreak,
-    /// Connections are opened and left.
+    /// Clients open this many connections and send no complete request on them.
     Crowd(u32),
 }
 
-/// One run.
+/// Settings and timeline of one run.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Its seed.
+    /// Seed that the run is drawn from.
     pub seed: u64,
-    /// Figures of the rules.
+    /// Settings that the rules depend on.
     pub rules: RuleSettings,
-    /// Number of exchanges; their places count from 0, which is the router's own.
-    pub exchanges: u32,
-    /// Requests a second.
-    pub rate: f64,
-    /// Client connections that are kept open.
-    pub connections: u32,
-    /// A connection to an exchange must be up within this.
+    /// Number of exchanges. Their node numbers start at 0, the router's own exchange.
+    pub exchange_count: u32,
+    /// Mean number of new requests per second.
+    pub requests_per_s: f64,
+    /// Number of client connections that are kept open.
+    pub client_connections: u32,
+    /// Time after which the router gives up connecting to an exchange.
     pub connect_timeout: Duration,
-    /// Descriptors that the router may hold.
-    pub sockets: u32,
-    /// Share of answers that arrive spoilt, doubled, late or never.
-    pub spoilt: f64,
-    /// Messages are written in pieces.
-    pub pieces: bool,
-    /// Some clients break the protocol.
-    pub bad_clients: bool,
-    /// Share of requests whose client gives up early.
-    pub impatient: f64,
-    /// Clients repeat at once, whatever a refusal says.
-    pub pushy: bool,
-    /// How long requests are sent and faults happen.
-    pub active: Duration,
-    /// How long calls are still released after that.
-    pub tail: Duration,
-    /// Faults and signals by time.
+    /// Most file descriptors that the router may hold (`limits.sockets`).
+    pub max_descriptors: u32,
+    /// Share of answers that are malformed, truncated, duplicated, late or missing.
+    pub faulty_answer_share: f64,
+    /// Messages are written in several pieces.
+    pub has_split_writes: bool,
+    /// Some clients violate the protocol.
+    pub has_bad_clients: bool,
+    /// Share of requests whose client gives up before the deadline.
+    pub abandon_share: f64,
+    /// Clients repeat a refused request at once, whatever `X-Hold-Off` says.
+    pub ignores_hold_off: bool,
+    /// Time during which requests are sent and faults happen.
+    pub active_time: Duration,
+    /// Time after `active_time` in which calls may still end and be released.
+    pub release_time: Duration,
+    /// Faults and signals with their times since the start of the run, in order.
     pub timeline: Vec<(Duration, Step)>,
 }
 
-/// Deadlines that the runs take turns with, ms.
+/// Deadlines in milliseconds; a run takes the one at its seed modulo 7.
 const DEADLINES_MS: [u64; 7] = [3000, 400, 900, 2600, 600, 9000, 1500];
 
-fn between(rng: &mut Rng, from_ms: u64, to_ms: u64) -> Duration {
-    Duration::from_millis(rng.u64(from_ms..=to_ms))
+fn draw_duration(rng: &mut Rng, min_ms: u64, max_ms: u64) -> Duration {
+    Duration::from_millis(rng.u64(min_ms..=max_ms))
 }
 
-/// A party of a run that listens. Each run has loopback addresses of its own, so that a port that is given up
-/// for a while is not taken by another run.
+/// Part of a run that listens, with the second octet of its loopback address. Each run has addresses of its
+/// own, so that no other run takes a port that is closed for a while.
 #[derive(Debug, Clone, Copy)]
-pub enum Party {
-    /// The router.
+pub enum Component {
+    /// The router under test.
     Router = 64,
-    /// The exchanges.
+    /// The emulated exchanges.
     Exchanges = 65,
-    /// The coordinator.
+    /// The emulated coordinator.
     Coordinator = 66,
 }
 
 impl Scenario {
-    /// Where a party listens, at any port.
-    pub fn address(&self, party: Party) -> SocketAddr {
+    /// Returns the address that a component listens on, with port 0 for any free port.
+    pub fn address(&self, component: Component) -> SocketAddr {
         let run = (self.seed % 60_000) as u16;
         let [high, low] = run.to_be_bytes();
-        SocketAddr::from(([127, party as u8, high, low], 0))
+        SocketAddr::from(([127, component as u8, high, low], 0))
     }
 
-    /// Draws a run.
-    pub fn draw(seed: u64, active: Duration) -> Self {
+    /// Draws the settings and the timeline of a run from its seed.
+    pub fn draw(seed: u64, active_time: Duration) -> Self {
         let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x5151);
         let deadline = Duration::from_millis(DEADLINES_MS[(seed % 7) as usize]);
         let class = |name, is_safe, deadline: Duration| ClassSettings {
@@ -166,26 +166,26 @@
         }
         let rules = RuleSettings {
             classes,
-            guard: Duration::from_millis(500),
+            guard_time: Duration::from_millis(500),
             drain_grace: Duration::from_millis(500),
-            hold_off: rng.u8(..8) > 0,
+            hold_off_required: rng.u8(..8) > 0,
             own_node: 0,
         };
         let mut scenario = Self {
             seed,
             rules,
-            exchanges: rng.u32(4..=6),
-            rate: if rng.u8(..4) == 0 { 180.0 } else { 20.0 + 60.0 * rng.f64() },
-            connections: rng.u32(2..=6),
-            connect_timeout: between(&mut rng, 400, 2500),
-            sockets: 512,
-            spoilt: if rng.bool() { 0.06 } else { 0.0 },
-            pieces: rng.bool(),
-            bad_clients: rng.bool(),
-            impatient: if rng.bool() { 0.1 } else { 0.0 },
-            pushy: rng.bool(),
-            active,
-            tail: Duration::from_millis(9500),
+            exchange_count: rng.u32(4..=6),
+            requests_per_s: if rng.u8(..4) == 0 { 180.0 } else { 20.0 + 60.0 * rng.f64() },
+            client_connections: rng.u32(2..=6),
+            connect_timeout: draw_duration(&mut rng, 400, 2500),
+            max_descriptors: 512,
+            faulty_answer_share: if rng.bool() { 0.06 } else { 0.0 },
+            has_split_writes: rng.bool(),
+            has_bad_clients: rng.bool(),
+            abandon_share: if rng.bool() { 0.1 } else { 0.0 },
+            ignores_hold_off: rng.bool(),
+            active_time,
+            release_time: Duration::from_millis(9500),
             timeline: Vec::new(),
         };
         scenario.draw_shutdowns(&mut rng);
@@ -194,37 +194,38 @@
         scenario
     }
 
-    fn add(&mut self, at: Duration, step: Step) {
-        if at < self.active {
+    fn add_step(&mut self, at: Duration, step: Step) {
+        if at < self.active_time {
             self.timeline.push((at, step));
         }
     }
 
-    /// Signals come in series: each stop begins soon after the start before it, among faults of exchanges.
+    /// Draws a series of restarts with faults of exchanges around them; each stop comes soon after the start
+    /// before it.
     fn draw_shutdowns(&mut self, rng: &mut Rng) {
         let deadline = self.rules.classes[0].deadline.min(Duration::from_secs(3));
-        let mut at = between(rng, 700, 2000);
+        let mut at = draw_duration(rng, 700, 2000);
         for _ in 0..rng.u32(2..=4) {
-            let restart_after = between(rng, 0, 700);
+            let restart_after = draw_duration(rng, 0, 700);
             let step = match rng.u8(..8) {
                 0 => Step::Kill { restart_after },
                 _ => Step::Terminate { restart_after, twice: rng.u8(..4) == 0 },
             };
-            let before = between(rng, 0, 600);
-            let fault = self.exchange_fault(rng);
-            self.add(at.saturating_sub(before), fault);
+            let lead_time = draw_duration(rng, 0, 600);
+            let fault = self.draw_exchange_fault(rng);
+            self.add_step(at.saturating_sub(lead_time), fault);
             if rng.bool() {
-                let fault = self.exchange_fault(rng);
-                self.add(at + between(rng, 0, 600), fault);
+                let fault = self.draw_exchange_fault(rng);
+                self.add_step(at + draw_duration(rng, 0, 600), fault);
             }
-            self.add(at, step);
-            at += deadline + Duration::from_millis(700) + restart_after + between(rng, 200, 2500);
+            self.add_step(at, step);
+            at += deadline + Duration::from_millis(700) + restart_after + draw_duration(rng, 200, 2500);
         }
     }
 
-    fn exchange_fault(&self, rng: &mut Rng) -> Step {
-        let node = rng.u32(1..self.exchanges);
-        let length = between(rng, 300, 4000);
+    fn draw_exchange_fault(&self, rng: &mut Rng) -> Step {
+        let node = rng.u32(1..self.exchange_count);
+        let length = draw_duration(rng, 300, 4000);
         match rng.u8(..10) {
             9 => Step::EarlyCloses(node, length),
             0 | 1 => Step::Hang(node, length),
@@ -234,8 +235,8 @@
             5 => Step::ResetConnections(node),
             _ => Step::Replace {
                 place: node,
-                drain_for: between(rng, 200, 2500),
-                gone_for: between(rng, 200, 2500),
+                drain_for: draw_duration(rng, 200, 2500),
+                gone_for: draw_duration(rng, 200, 2500),
                 new_id: rng.bool(),
             },
         }
@@ -243,43 +244,51 @@
 
     fn draw_faults(&mut self, rng: &mut Rng) {
         for _ in 0..rng.u32(1..=4) {
-            let at = between(rng, 300, self.active.as_millis() as u64);
-            let fault = self.exchange_fault(rng);
-            self.add(at, fault);
+            let at = draw_duration(rng, 300, self.active_time.as_millis() as u64);
+            let fault = self.draw_exchange_fault(rng);
+            self.add_step(at, fault);
         }
         if rng.bool() {
-            // A drain while connections are reset and come up late.
-            let (node, at) = (rng.u32(1..self.exchanges), between(rng, 300, self.active.as_millis() as u64));
-            self.add(at, Step::LateConnects(node, between(rng, 800, 2500)));
-            self.add(at + between(rng, 0, 50), Step::ResetConnections(node));
-            let (drain_for, gone_for) = (between(rng, 1500, 3000), between(rng, 300, 1500));
-            self.add(
-                at + between(rng, 50, 600),
+            // A drain while connections are reset and new ones are not accepted.
+            let (node, at) = (
+                rng.u32(1..self.exchange_count),
+                draw_duration(rng, 300, self.active_time.as_millis() as u64),
+            );
+            self.add_step(at, Step::LateConnects(node, draw_duration(rng, 800, 2500)));
+            self.add_step(at + draw_duration(rng, 0, 50), Step::ResetConnections(node));
+            let (drain_for, gone_for) = (draw_duration(rng, 1500, 3000), draw_duration(rng, 300, 1500));
+            self.add_step(
+                at + draw_duration(rng, 50, 600),
                 Step::Replace { place: node, drain_for, gone_for, new_id: false },
             );
         }
         for _ in 0..rng.u32(0..=2) {
-            let (at, count) = (between(rng, 1200, self.active.as_millis() as u64), rng.u32(1..=4));
-            self.add(at, Step::Reload { count, gap: between(rng, 5, 400) });
+            let (at, count) = (draw_duration(rng, 1200, self.active_time.as_millis() as u64), rng.u32(1..=4));
+            self.add_step(at, Step::Reload { count, gap: draw_duration(rng, 5, 400) });
         }
         for _ in 0..rng.u32(0..=2) {
-            let (at, length) = (between(rng, 300, self.active.as_millis() as u64), between(rng, 300, 5000));
+            let (at, length) =
+                (draw_duration(rng, 300, self.active_time.as_millis() as u64), draw_duration(rng, 300, 5000));
             let step = match rng.u8(..5) {
                 0 | 1 => Step::DiscoverySilent(length),
                 2 | 3 => Step::DiscoveryDown(length),
                 _ => Step::DiscoveryBreak,
             };
-            self.add(at, step);
-            // Drains close to its return.
-            let near = (at + length).saturating_sub(between(rng, 0, 600)) + between(rng, 0, 300);
-            let node = rng.u32(1..self.exchanges);
-            let (drain_for, gone_for) = (between(rng, 300, 1500), between(rng, 300, 1500));
-            self.add(near, Step::Replace { place: node, drain_for, gone_for, new_id: rng.bool() });
+            self.add_step(at, step);
+            // A drain close to the time when the coordinator works again.
+            let replaced_at =
+                (at + length).saturating_sub(draw_duration(rng, 0, 600)) + draw_duration(rng, 0, 300);
+            let node = rng.u32(1..self.exchange_count);
+            let (drain_for, gone_for) = (draw_duration(rng, 300, 1500), draw_duration(rng, 300, 1500));
+            self.add_step(
+                replaced_at,
+                Step::Replace { place: node, drain_for, gone_for, new_id: rng.bool() },
+            );
         }
         if self.seed % 4 == 3 {
-            self.sockets = 256;
-            let at = between(rng, 300, self.active.as_millis() as u64);
-            self.add(at, Step::Crowd(rng.u32(150..400)));
+            self.max_descriptors = 256;
+            let at = draw_duration(rng, 300, self.active_time.as_millis() as u64);
+            self.add_step(at, Step::Crowd(rng.u32(150..400)));
         }
     }
 }
