--- a/emulator/src/bin/soak.rs
+++ b/emulator/src/bin/soak.rs
@@ -8,7 +8,7 @@
 
 use clap::Parser;
 use quartzspindle_emulator::scenario::Scenario;
-use quartzspindle_emulator::{play, Report};
+use quartzspindle_emulator::{run_scenario, Report};
 
 /// Soaks a router in seeded faults on loopback and checks every rule.
 #[derive(Debug, Parser)]
@@ -80,7 +80,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let scenario = Scenario::draw(seed, Duration::from_secs(arguments.active_s));
     let tasks = tokio::task::LocalSet::new();
-    tasks.block_on(&runtime, play(scenario, &arguments.router, &arguments.dir))
+    tasks.block_on(&runtime, run_scenario(scenario, &arguments.router, &arguments.dir))
 }
 
 fn print(report: &Report, timeline: bool) {
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -48,7 +48,7 @@
     /// Its state from now on.
     pub state: State,
     /// Unix milliseconds of a late start, or 0.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,9 +108,9 @@
     }
 
     /// Publishes a change.
-    pub fn publish(&self, id: u32, node: u32, address: SocketAddr, state: State, born_ms: u64) {
+    pub fn publish(&self, id: u32, node: u32, address: SocketAddr, state: State, started_ms: u64) {
         let number = self.last() + 1;
-        self.events.borrow_mut().push(Event { number, id, node, address, state, born_ms });
+        self.events.borrow_mut().push(Event { number, id, node, address, state, started_ms });
         let mut checker = self.checker.borrow_mut();
         checker.record_event(format!("membership {number}: s-{id:08x} at node {node} {state:?}"));
         match state {
@@ -266,6 +266,6 @@
     frame.extend([0, 0]);
     frame.extend((event.node as u16).to_be_bytes());
     frame.extend(1000_u32.to_be_bytes());
-    frame.extend(event.born_ms.to_be_bytes());
+    frame.extend(event.started_ms.to_be_bytes());
     frame
 }
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -16,4 +16,4 @@
 pub mod sip;
 
 pub use checker::Violation;
-pub use run::{play, Report};
+pub use run::{run_scenario, Report};
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays one scenario against a real router process.
+//! Runs one scenario against a real router process.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -23,37 +23,38 @@
 use crate::scenario::{Component, Scenario, Step};
 use crate::sip;
 
-/// A start has to lead to a passed test within this.
-const READY_WITHIN: Duration = Duration::from_secs(6);
-/// The kill after SIGTERM comes so long after the longest deadline, which counts as 3 s at most.
+/// Longest time from a start of the router until it passes a health check.
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time from the longest deadline, counted from SIGTERM, to the SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-/// How often the process is looked at.
-const POLL: Duration = Duration::from_millis(10);
-/// Memory that a router may hold, MB.
-const MEMORY_MB: u64 = 192;
+/// Upper bound of the longest deadline when the time of the SIGKILL is computed.
+const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
+/// Interval at which the process is checked while no command is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Most resident memory that the router may hold, in MB.
+const MAX_MEMORY_MB: u64 = 192;
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Broken rules.
+    /// Breaches of the rules, oldest first.
     pub violations: Vec<Violation>,
-    /// Faults and signals with their times.
+    /// Faults, signals and other events with their times, oldest first.
     pub timeline: Vec<String>,
-    /// What has passed.
+    /// Traffic counts.
     pub counts: Counts,
-    /// Most memory, MB, and most descriptors seen.
+    /// Highest resident memory in MB, and highest number of descriptors, of the router.
     pub peak: (u64, usize),
 }
 
-/// A signal for the supervisor.
-enum Order {
+/// Command to the task that starts and stops the router.
+enum SupervisorCommand {
     Terminate { restart_after: Duration, twice: bool },
     Kill { restart_after: Duration },
     Reload { count: u32, gap: Duration },
-    Finish,
+    Stop,
 }
 
 struct Run {
@@ -63,17 +64,18 @@
     exchanges: Vec<Rc<Exchange>>,
     clients: Rc<Clients>,
     program: PathBuf,
-    log: PathBuf,
-    listen: SocketAddr,
+    log_path: PathBuf,
+    listen_address: SocketAddr,
     config: RefCell<ConfigFile>,
     peak: RefCell<(u64, usize)>,
 }
 
-/// Plays a scenario; files of the run are put into `dir`. Needs a `LocalSet` around it.
+/// Runs a scenario against a router program and returns the result. The configuration and the log of the run
+/// are written to `dir`. Must be called within a `LocalSet`.
 ///
 /// # Errors
-/// When a socket or a file can't be opened, or the program can't be started.
-pub async fn play(scenario: Scenario, program: &Path, dir: &Path) -> io::Result<Report> {
+/// Returns an error if a socket or a file can't be opened, or the program can't be started.
+pub async fn run_scenario(scenario: Scenario, program: &Path, dir: &Path) -> io::Result<Report> {
     let scenario = Rc::new(scenario);
     let seed = scenario.seed;
     let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.rules.clone())));
@@ -82,12 +84,12 @@
     let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchange_count)
         .map(|node| Exchange::start(checker.clone(), scenario.clone(), node))
         .collect::<io::Result<_>>()?;
-    let listen = free_address(&scenario).await?;
-    let mut config = ConfigFile::new(dir.join(format!("soak-{seed}.json")), &scenario, listen);
+    let listen_address = free_address(&scenario).await?;
+    let mut config = ConfigFile::new(dir.join(format!("soak-{seed}.json")), &scenario, listen_address);
     config.set("coordinator", json!(address.to_string()));
-    let log = dir.join(format!("soak-{seed}.log"));
-    let _ = std::fs::remove_file(&log);
-    let clients = Clients::start(checker.clone(), scenario.clone(), listen);
+    let log_path = dir.join(format!("soak-{seed}.log"));
+    let _ = std::fs::remove_file(&log_path);
+    let clients = Clients::start(checker.clone(), scenario.clone(), listen_address);
     let run = Rc::new(Run {
         scenario: scenario.clone(),
         checker,
@@ -95,17 +97,17 @@
         exchanges,
         clients,
         program: program.to_owned(),
-        log,
-        listen,
+        log_path,
+        listen_address,
         config: RefCell::new(config),
         peak: RefCell::default(),
     });
-    let (orders, receiver) = mpsc::unbounded_channel();
+    let (commands, receiver) = mpsc::unbounded_channel();
     let supervisor = tokio::task::spawn_local(run.clone().supervise(receiver));
-    run.clone().play_timeline(&orders).await;
+    run.clone().run_timeline(&commands).await;
     sleep(scenario.release_time).await;
     run.checker.borrow_mut().finish();
-    let _ = orders.send(Order::Finish);
+    let _ = commands.send(SupervisorCommand::Stop);
     supervisor.await.map_err(io::Error::other)??;
     Ok(run.report())
 }
@@ -130,27 +132,29 @@
         self.checker.borrow_mut().record_event(text);
     }
 
-    async fn play_timeline(self: Rc<Self>, orders: &mpsc::UnboundedSender<Order>) {
-        let begun = Instant::now();
+    async fn run_timeline(self: Rc<Self>, commands: &mpsc::UnboundedSender<SupervisorCommand>) {
+        let started_at = Instant::now();
         for (at, step) in self.scenario.timeline.clone() {
-            sleep_until(begun + at).await;
+            sleep_until(started_at + at).await;
             match step {
                 Step::Terminate { restart_after, twice } => {
-                    let _ = orders.send(Order::Terminate { restart_after, twice });
+                    let _ = commands.send(SupervisorCommand::Terminate { restart_after, twice });
                 }
-                Step::Kill { restart_after } => drop(orders.send(Order::Kill { restart_after })),
-                Step::Reload { count, gap } => drop(orders.send(Order::Reload { count, gap })),
+                Step::Kill { restart_after } => {
+                    drop(commands.send(SupervisorCommand::Kill { restart_after }))
+                }
+                Step::Reload { count, gap } => drop(commands.send(SupervisorCommand::Reload { count, gap })),
                 fault => {
                     self.record_event(format!("{fault:?}"));
-                    tokio::task::spawn_local(self.clone().play_fault(fault));
+                    tokio::task::spawn_local(self.clone().apply_fault(fault));
                 }
             }
         }
-        sleep_until(begun + self.scenario.active_time).await;
+        sleep_until(started_at + self.scenario.active_time).await;
         self.clients.rest();
     }
 
-    async fn play_fault(self: Rc<Self>, step: Step) {
+    async fn apply_fault(self: Rc<Self>, step: Step) {
         match step {
             Step::DiscoverySilent(length) => return self.coordinator.fall_silent(length).await,
             Step::DiscoveryDown(length) => return self.coordinator.go_down(length).await,
@@ -180,8 +184,8 @@
             Step::Cut(_, length) => exchange.cut_network(length).await,
             Step::EarlyCloses(_, length) => exchange.close_early(length).await,
             Step::Vanish(_, length) => {
-                let born = exchange.fail_silently(length).await;
-                self.publish(&exchange, State::Ready, born);
+                let started_ms = exchange.fail_silently(length).await;
+                self.publish(&exchange, State::Ready, started_ms);
             }
             Step::Replace { drain_for, gone_for, new_id, .. } => {
                 self.publish(&exchange, State::Draining, 0);
@@ -189,22 +193,22 @@
                 exchange.stop_process(false);
                 self.publish(&exchange, State::Gone, 0);
                 sleep(gone_for).await;
-                let born = exchange.start_process(new_id);
-                self.publish(&exchange, State::Ready, born);
+                let started_ms = exchange.start_process(new_id);
+                self.publish(&exchange, State::Ready, started_ms);
             }
             _ => {}
         }
         exchange.has_active_fault.set(false);
     }
 
-    fn publish(&self, exchange: &Exchange, state: State, born_ms: u64) {
-        self.coordinator.publish(exchange.id(), exchange.node, exchange.address, state, born_ms);
+    fn publish(&self, exchange: &Exchange, state: State, started_ms: u64) {
+        self.coordinator.publish(exchange.id(), exchange.node, exchange.address, state, started_ms);
     }
 
-    // ---- the process ------------------------------------------------------------------------------
+    // ---- the router process -----------------------------------------------------------------------
 
-    /// The membership of a start: every exchange that is not gone.
-    fn known(&self) -> Value {
+    /// Returns the membership for the `known` key of a start: every exchange that is not gone.
+    fn initial_membership(&self) -> Value {
         let mut hosts = Vec::new();
         let events = self.coordinator.events.borrow();
         for exchange in &self.exchanges {
@@ -214,104 +218,109 @@
                 Some(State::Draining) => "leaving",
                 Some(State::Gone) => continue,
             };
-            let born = last.map_or(0, |e| e.born_ms);
-            hosts.push(self.host(exchange.id(), exchange.node, state, exchange.address, born));
+            let started_ms = last.map_or(0, |e| e.started_ms);
+            hosts.push(self.host_entry(exchange.id(), exchange.node, state, exchange.address, started_ms));
         }
         let index = self.coordinator.last();
-        json!({"index": index, "updates": [{"index": index, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]})
+        json!({"index": index,
+            "updates": [{"index": index, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]})
     }
 
-    fn host(&self, id: u32, node: u32, state: &str, address: SocketAddr, born_ms: u64) -> Value {
+    fn host_entry(&self, id: u32, node: u32, state: &str, address: SocketAddr, started_ms: u64) -> Value {
         json!({"host": format!("s-{id:08x}"), "dial": address.to_string(), "site": "east", "class": "std",
-            "block": node, "health": state, "share": 1, "born_ms": born_ms})
+            "block": node, "health": state, "share": 1, "born_ms": started_ms})
     }
 
-    fn start(&self) -> io::Result<Router> {
+    fn start_router(&self) -> io::Result<Router> {
         let mut config = self.config.borrow_mut();
-        let known = self.known();
+        let known = self.initial_membership();
         config.set("known", known);
         config.write()?;
-        let gone: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
-        self.checker.borrow_mut().on_process_started(gone.into_iter());
+        let out_of_service: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
+        self.checker.borrow_mut().on_process_started(out_of_service.into_iter());
         self.record_event("router started");
-        Router::start(&self.program, config.path(), &self.log)
+        Router::start(&self.program, config.path(), &self.log_path)
     }
 
-    async fn supervise(self: Rc<Self>, mut orders: mpsc::UnboundedReceiver<Order>) -> io::Result<()> {
-        let mut router = self.start()?;
-        let mut ready = tokio::task::spawn_local(self.clone().check_ready());
+    async fn supervise(
+        self: Rc<Self>,
+        mut commands: mpsc::UnboundedReceiver<SupervisorCommand>,
+    ) -> io::Result<()> {
+        let mut router = self.start_router()?;
+        let mut startup_check = tokio::task::spawn_local(self.clone().check_startup());
         loop {
-            let order = match timeout(POLL, orders.recv()).await {
-                Ok(Some(order)) => order,
+            let command = match timeout(POLL_INTERVAL, commands.recv()).await {
+                Ok(Some(command)) => command,
                 Ok(None) => return Ok(()),
                 Err(_) => {
-                    self.inspect(&mut router);
+                    self.check_process(&mut router);
                     continue;
                 }
             };
-            match order {
-                Order::Reload { count, gap } => {
-                    // Nobody asks for a reload before the router has served for a while.
-                    if ready.is_finished() {
+            match command {
+                SupervisorCommand::Reload { count, gap } => {
+                    // No reload is asked for until the router has been ready for a second.
+                    if startup_check.is_finished() {
                         self.reload(&router, count, gap).await?;
                     }
                     continue;
                 }
-                Order::Kill { restart_after } => {
-                    ready.abort();
-                    self.record_event("SIGKILL without warning");
+                SupervisorCommand::Kill { restart_after } => {
+                    startup_check.abort();
+                    self.record_event("SIGKILL without SIGTERM");
                     self.checker.borrow_mut().on_killed(None);
                     router.signal(Signal::KILL);
-                    self.await_end(&mut router, None).await;
+                    self.wait_for_exit(&mut router, None).await;
                     sleep(restart_after).await;
                 }
-                Order::Terminate { restart_after, twice } => {
-                    ready.abort();
+                SupervisorCommand::Terminate { restart_after, twice } => {
+                    startup_check.abort();
                     self.terminate(&mut router, twice).await;
                     sleep(restart_after).await;
                 }
-                Order::Finish => {
-                    ready.abort();
+                SupervisorCommand::Stop => {
+                    startup_check.abort();
                     self.terminate(&mut router, false).await;
                     return Ok(());
                 }
             }
-            router = self.start()?;
-            ready = tokio::task::spawn_local(self.clone().check_ready());
+            router = self.start_router()?;
+            startup_check = tokio::task::spawn_local(self.clone().check_startup());
         }
     }
 
     async fn terminate(&self, router: &mut Router, twice: bool) {
-        let longest = self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let term_at = Instant::now();
+        let longest_deadline =
+            self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let terminated_at = Instant::now();
         self.record_event("SIGTERM");
         router.signal(Signal::TERM);
         if twice {
             sleep(Duration::from_millis(40)).await;
             router.signal(Signal::TERM);
         }
-        let kill_at = term_at + longest.min(LONGEST_WAIT) + KILL_MARGIN;
-        if !self.await_end(router, Some(kill_at)).await {
+        let kill_at = terminated_at + longest_deadline.min(MAX_STOP_DEADLINE) + KILL_MARGIN;
+        if !self.wait_for_exit(router, Some(kill_at)).await {
             self.record_event("SIGKILL");
-            self.checker.borrow_mut().on_killed(Some(term_at));
+            self.checker.borrow_mut().on_killed(Some(terminated_at));
             router.signal(Signal::KILL);
-            self.await_end(router, None).await;
+            self.wait_for_exit(router, None).await;
         }
-        let killed = router.ended().is_some_and(|status| status.code().is_none());
-        self.record_event(if killed { "router was killed" } else { "router ended" });
+        let was_killed = router.ended().is_some_and(|status| status.code().is_none());
+        self.record_event(if was_killed { "router was killed" } else { "router ended" });
     }
 
-    /// Waits until the process has ended; false at the time given.
-    async fn await_end(&self, router: &mut Router, until: Option<Instant>) -> bool {
-        while until.is_none_or(|at| Instant::now() < at) {
+    /// Waits until the process has ended. Returns `false` if it still runs at the deadline.
+    async fn wait_for_exit(&self, router: &mut Router, deadline: Option<Instant>) -> bool {
+        while deadline.is_none_or(|at| Instant::now() < at) {
             if let Some(status) = router.ended() {
                 if status.code().is_some_and(|code| code != 0) {
                     self.checker
                         .borrow_mut()
-                        .report_violation(Rule::Crash, format!("the router ended with {status}"));
+                        .report_violation(Rule::Crash, format!("the router exited with {status}"));
                 }
                 // Clients see their connections end before the process counts as ended.
-                sleep(POLL).await;
+                sleep(POLL_INTERVAL).await;
                 self.checker.borrow_mut().on_process_ended();
                 return true;
             }
@@ -332,43 +341,43 @@
         Ok(())
     }
 
-    /// Notes an unexpected end, and what the process holds.
-    fn inspect(&self, router: &mut Router) {
+    /// Checks that the process still runs, and that it keeps its limits of memory and descriptors.
+    fn check_process(&self, router: &mut Router) {
         let mut checker = self.checker.borrow_mut();
         if let Some(status) = router.ended() {
-            let seen = checker.violations().iter().any(|v| v.rule == Rule::Crash);
-            if !seen {
-                checker.report_violation(Rule::Crash, format!("the router ended by itself with {status}"));
+            let is_reported = checker.violations().iter().any(|v| v.rule == Rule::Crash);
+            if !is_reported {
+                checker.report_violation(Rule::Crash, format!("the router exited on its own with {status}"));
             }
             return;
         }
         let (memory, descriptors) = (router.memory_mb().unwrap_or(0), router.descriptors().unwrap_or(0));
         let mut peak = self.peak.borrow_mut();
         *peak = (peak.0.max(memory), peak.1.max(descriptors));
-        if memory > MEMORY_MB || descriptors > self.scenario.max_descriptors as usize {
-            let text = format!("{memory} MB and {descriptors} descriptors held");
+        if memory > MAX_MEMORY_MB || descriptors > self.scenario.max_descriptors as usize {
+            let text = format!("the router holds {memory} MB of memory and {descriptors} descriptors");
             checker.report_violation(Rule::Limits, text);
         }
     }
 
-    /// A router has to pass a test soon after its start.
-    async fn check_ready(self: Rc<Self>) {
+    /// Checks that the router passes a health check soon after its start, and ends a second later.
+    async fn check_startup(self: Rc<Self>) {
         let ready = async {
-            while !self.passes_test().await.unwrap_or(false) {
+            while !self.passes_health_check().await.unwrap_or(false) {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        if timeout(READY_WITHIN, ready).await.is_err() {
-            let text = format!("not ready within {READY_WITHIN:?}");
+        if timeout(READY_TIMEOUT, ready).await.is_err() {
+            let text = format!("no OPTIONS request answered with 200 within {READY_TIMEOUT:?} of the start");
             self.checker.borrow_mut().report_violation(Rule::Crash, text);
         }
         self.record_event("router ready");
-        // The first configuration change comes later than its first second.
+        // Until this task ends, reloads are skipped.
         sleep(Duration::from_secs(1)).await;
     }
 
-    async fn passes_test(&self) -> io::Result<bool> {
-        let mut stream = TcpStream::connect(self.listen).await?;
+    async fn passes_health_check(&self) -> io::Result<bool> {
+        let mut stream = TcpStream::connect(self.listen_address).await?;
         stream.write_all(&sip::request("OPTIONS", "ping", "0", "", "")).await?;
         let (mut bytes, mut input) = (Vec::new(), [0; 1024]);
         loop {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use quartzspindle_emulator::scenario::Scenario;
-use quartzspindle_emulator::{play, Report};
+use quartzspindle_emulator::{run_scenario, Report};
 use rstest::rstest;
 
 /// Traffic and faults of one run; releases are awaited for some seconds more.
@@ -15,7 +15,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_quartzspindle"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let tasks = tokio::task::LocalSet::new();
-    tasks.block_on(&runtime, play(Scenario::draw(seed, ACTIVE), &program, &dir)).unwrap()
+    tasks.block_on(&runtime, run_scenario(Scenario::draw(seed, ACTIVE), &program, &dir)).unwrap()
 }
 
 /// Each seed has another deadline; among them are a crowd, bad clients, and a class that may not be repeated.
