--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -95,7 +95,8 @@
         let platform = self.platform.borrow();
         for line in platform.core.exchanges.lines() {
             let pool = platform.pools().find(|(id, _)| **id == line.exchange).map(|(_, pool)| pool);
-            let (address, open) = pool.map_or((String::new(), 0), |l| (l.address.to_string(), l.open()));
+            let (address, open) =
+                pool.map_or((String::new(), 0), |l| (l.address.to_string(), l.open_connections()));
             let (id, place) = (&line.exchange.0, line.place.0);
             let _ = writeln!(text, "{id} place {place} {:?} {address} connections {open}", line.health);
         }
--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -50,17 +50,17 @@
     let listener =
         connection::listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
     let platform = Platform::new(&config, log.clone(), clock)?;
-    tokio::task::spawn_local(sockets::keep_time(platform.clone()));
-    tokio::task::spawn_local(sockets::follow(platform.clone()));
+    tokio::task::spawn_local(sockets::run_timers(platform.clone()));
+    tokio::task::spawn_local(sockets::follow_coordinator(platform.clone()));
     if let Some(at) = config.peer_listen.filter(|_| config.settings.limits.peers) {
         let socket = bind("peer_listen", at).await?;
-        tokio::task::spawn_local(sockets::hear_peers(platform.clone(), Rc::new(socket)));
+        tokio::task::spawn_local(sockets::receive_peer_datagrams(platform.clone(), Rc::new(socket)));
     }
     let active = Rc::new(Cell::new(true));
     let mut front = None;
     if let Some(setup) = &config.enumeration {
         let made = Front::new(setup, config.seed, log.clone(), clock, active.clone())?;
-        tokio::task::spawn_local(enumeration::keep_time(made.clone()));
+        tokio::task::spawn_local(enumeration::run_timers(made.clone()));
         if let Some(at) = setup.listen {
             let socket = bind("enum.listen", at).await?;
             info!(log, "answering look-ups"; "listen" => %socket.local_addr()?);
@@ -171,7 +171,7 @@
 impl Accepting {
     fn start(platform: Handle, listener: TcpListener) -> Self {
         let stop = Rc::new(Notify::new());
-        let task = tokio::task::spawn_local(sockets::accept(platform, listener, stop.clone()));
+        let task = tokio::task::spawn_local(sockets::accept_clients(platform, listener, stop.clone()));
         Self { stop, task }
     }
 }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -41,7 +41,7 @@
     }
 
     /// The instant at which the clock shows `at`.
-    pub fn instant(&self, at: Duration) -> tokio::time::Instant {
+    pub fn instant_at(&self, at: Duration) -> tokio::time::Instant {
         (self.start + at.saturating_sub(self.unix)).into()
     }
 }
@@ -413,33 +413,39 @@
 /// A shared writes.
 pub type SharedWriteBuffer = Rc<WriteBuffer>;
 
-/// A front that has things to do at certain times.
-pub trait Timed {
-    /// When [`Timed::wake`] is due.
+/// A front with work that is due at certain times.
+pub trait TimerDriven {
+    /// Returns when [`TimerDriven::run_due`] has to be called next.
     fn next_due(&self) -> Option<Duration>;
-    /// Does what is due.
-    fn wake(&mut self, now: Duration);
-    /// Looks after what has no time of its own.
+    /// Runs the work that is due.
+    fn run_due(&mut self, now: Duration);
+    /// Runs the periodic checks that have no timer of their own.
     fn sweep(&mut self, now: Duration);
 }
 
-/// Does what is due, when it is due, and looks after the rest at an interval; `changed` tells of earlier
-/// due times.
-pub async fn keep_time<T: Timed>(front: Rc<RefCell<T>>, clock: Clock, changed: Rc<Notify>, every: Duration) {
-    let mut look = clock.now();
+/// Calls [`TimerDriven::run_due`] when it is due and [`TimerDriven::sweep`] once per `sweep_interval`.
+///
+/// `rescheduled` is notified whenever work may have become due earlier than before.
+pub async fn run_timers<T: TimerDriven>(
+    front: Rc<RefCell<T>>,
+    clock: Clock,
+    rescheduled: Rc<Notify>,
+    sweep_interval: Duration,
+) {
+    let mut next_sweep = clock.now();
     loop {
-        let next = front.borrow().next_due().map_or(look, |at| at.min(look));
+        let next = front.borrow().next_due().map_or(next_sweep, |at| at.min(next_sweep));
         tokio::select! {
-            () = tokio::time::sleep_until(clock.instant(next)) => {}
-            () = changed.notified() => {}
+            () = tokio::time::sleep_until(clock.instant_at(next)) => {}
+            () = rescheduled.notified() => {}
         }
         let mut front = front.borrow_mut();
         let now = clock.now();
         if front.next_due().is_some_and(|at| at <= now) {
-            front.wake(now);
+            front.run_due(now);
         }
-        if now >= look {
-            look = now + every;
+        if now >= next_sweep {
+            next_sweep = now + sweep_interval;
             front.sweep(now);
         }
     }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-use super::connection::{self, Clock, Timed};
+use super::connection::{self, Clock, TimerDriven};
 use crate::call::calls::Origin;
 use crate::call::core::{Core, Effect, Reply, Request};
 use crate::call::exchanges::Exchanges;
@@ -469,12 +469,12 @@
     }
 }
 
-impl Timed for Front {
+impl TimerDriven for Front {
     fn next_due(&self) -> Option<Duration> {
         self.core.next_due()
     }
 
-    fn wake(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         self.core.wake(now);
         self.flush();
     }
@@ -486,7 +486,7 @@
 }
 
 /// Does what is due, when it is due, and tells the core how much room there is.
-pub async fn keep_time(front: Handle) {
+pub async fn run_timers(front: Handle) {
     let (clock, due) = (front.borrow().clock, front.borrow().due.clone());
-    connection::keep_time(front, clock, due, LOOK).await;
+    connection::run_timers(front, clock, due, LOOK).await;
 }
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -142,7 +142,7 @@
     }
 
     /// Open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.conns.len()
     }
 
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -25,7 +25,9 @@
 use crate::interface::*;
 use crate::lifecycle::config::{Config, Listed, Update};
 use crate::metrics::Metrics;
-use crate::net::connection::{self, Clock, CloseReason, SharedWriteBuffer, Timed, WriteBudget, WriteBuffer};
+use crate::net::connection::{
+    self, Clock, CloseReason, SharedWriteBuffer, TimerDriven, WriteBudget, WriteBuffer,
+};
 use crate::net::enumeration::{self, Resolved};
 use crate::net::exchange_pool::{ConnId, ExchangePool, Failure};
 use crate::net::{client_connections::ClientConnections, sockets};
@@ -335,12 +337,12 @@
     }
 }
 
-impl Timed for Platform {
+impl TimerDriven for Platform {
     fn next_due(&self) -> Option<Duration> {
         self.core.next_due()
     }
 
-    fn wake(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         self.core.wake(now);
         self.flush();
     }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -62,13 +62,13 @@
 }
 
 /// Does what is due, when it is due, and looks after the pools.
-pub async fn keep_time(platform: Handle) {
+pub async fn run_timers(platform: Handle) {
     let (clock, due) = (platform.borrow().clock, platform.borrow().due.clone());
-    connection::keep_time(platform, clock, due, LOOK).await;
+    connection::run_timers(platform, clock, due, LOOK).await;
 }
 
 /// Accepts client connections until `stop`, then once more those that wait already.
-pub async fn accept(platform: Handle, listener: TcpListener, stop: Rc<Notify>) {
+pub async fn accept_clients(platform: Handle, listener: TcpListener, stop: Rc<Notify>) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -129,7 +129,7 @@
 
 /// Follows the coordinator: connects anew when it breaks off, falls silent or is changed by a reload, each
 /// time from the last event held.
-pub async fn follow(platform: Handle) {
+pub async fn follow_coordinator(platform: Handle) {
     let (log, within) = (platform.borrow().log.clone(), platform.borrow().connect_timeout);
     let moved = platform.borrow().coordinator_moved.clone();
     loop {
@@ -202,7 +202,7 @@
 }
 
 /// Takes datagrams of other routers.
-pub async fn hear_peers(platform: Handle, socket: Rc<UdpSocket>) {
+pub async fn receive_peer_datagrams(platform: Handle, socket: Rc<UdpSocket>) {
     platform.borrow_mut().set_peer_socket(socket.clone());
     let mut buffer = [0; 2 * DATAGRAM];
     loop {
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -94,7 +94,7 @@
         let due = standby.router.borrow().due().unwrap_or_else(|| standby.clock.now());
         tokio::select! {
             () = standby.stopped.notified() => return,
-            () = tokio::time::sleep_until(standby.clock.instant(due)) => {
+            () = tokio::time::sleep_until(standby.clock.instant_at(due)) => {
                 let advertisement = standby.router.borrow_mut().tick(standby.clock.now());
                 standby.send(advertisement);
             }
--- a/tests/exchange_pool.rs
+++ b/tests/exchange_pool.rs
@@ -97,7 +97,7 @@
             Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
         );
     }
-    assert!(!pool.make_room() && pool.open() == 4);
+    assert!(!pool.make_room() && pool.open_connections() == 4);
 }
 
 fn buffer() -> Rc<WriteBuffer> {
