--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -1,4 +1,5 @@
-//! The connections to one booking exchange: which one carries what, and what their ends mean.
+//! Connections to one exchange: which of them carries a message, and what the end of one means for its
+//! set-ups.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -7,366 +8,393 @@
 use super::connection::{CloseReason, SharedWriteBuffer};
 use crate::interface::{CallId, Status};
 
-/// Connections to one exchange at most (the protocol's limit).
+/// Maximum number of connections to one exchange (the protocol's limit).
 const MAX_CONNECTIONS: usize = 4;
-/// Connections kept open to an exchange that is listed.
+/// Number of connections kept open to a listed exchange.
 ///
-/// Guards against one that falls deaf with all set-ups on it: only what another is told shows it in time for
-/// them to go again within their aim, and new set-ups go to the one heard last.
+/// If a single connection stopped delivering, all set-ups on it would be lost with it. A second connection
+/// that still receives messages shows the fault early enough to repeat those set-ups within their aim; new
+/// set-ups use the connection that received a message last.
 const MIN_IDLE_CONNECTIONS: usize = 2;
-/// Pause before the next connect after a failed one: first and longest.
-const CONNECT_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
-/// Where calls stand and nothing was heard for this long, a second connection is opened: what they end
-/// with comes on the next one opened.
-const IDLE: Duration = Duration::from_millis(1500);
-/// A line that is begun and not ended within this was cut short: lines are written in one go.
+/// Pause before the next connect after the first failed one; it doubles with each further failure.
+const INITIAL_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest pause between two connects.
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(800);
+/// If an exchange with standing calls has sent nothing for this long, another connection is opened: the
+/// exchange delivers releases that were lost with an old connection on the next one opened.
+const IDLE_THRESHOLD: Duration = Duration::from_millis(1500);
+/// A line that is not complete within this time was cut short: exchanges write each line in one piece.
 const PARTIAL_LINE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The state of a group is told on all open connections. One that has heard nothing for the first time, and
-/// goes without what another is told for the second, is of no further use.
-const STALLED: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(100));
-/// After a connection has ended its exchange may write to it for so long; what was lost that way comes on the
-/// next one opened.
+/// An exchange sends its group state on every open connection. A connection is suspected of having stalled if
+/// it has received nothing for this long when a group state arrives on another one.
+const MIN_SILENCE_BEFORE_STALL: Duration = Duration::from_millis(50);
+/// A suspected connection that receives nothing for this long is closed as stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// An exchange may not notice for this long that a connection has ended, and may still write releases to it.
+/// What was lost that way arrives on the next connection opened, so that one is opened only after this delay.
 const RELEASE_COLLECT_DELAY: Duration = Duration::from_millis(250);
-/// Connections to an exchange that is no longer listed are kept for this long, for the set-ups on them.
+/// Connections with open set-ups to an exchange that is no longer listed are kept for this long.
 const REMOVED_LINGER: Duration = Duration::from_secs(10);
-/// The release of a call is due 8 s after its end even if its exchange could not send it.
+/// Time without a message after which the calls of an unreachable exchange are released.
 ///
-/// Guards against calls that end while their exchange is out of reach: of those that stood when it was
-/// last heard, any may be over since. Harm: those that still stand are cut.
-const OUT_OF_REACH: Duration = Duration::from_millis(7400);
-/// Releases that wait for a connection, at most.
+/// A release is due 8 s after the end of its call, even if the exchange could not send it. Any call that
+/// stood when the exchange was last heard may have ended since, so all of them are released; those that still
+/// stand are cut off.
+const OUT_OF_REACH_TIMEOUT: Duration = Duration::from_millis(7400);
+/// Maximum number of releases that wait for a connection.
 const MAX_QUEUED_RELEASES: usize = 4096;
 
-/// Number of a connection, never used again.
+/// Number of a connection; numbers are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 #[derive(Debug)]
-struct Conn {
-    id: ConnId,
+struct PooledConnection {
+    id: ConnectionId,
     writes: SharedWriteBuffer,
     last_received_at: Duration,
-    set_ups: BTreeSet<CallId>,
-    /// Since when a set-up has waited with nothing heard.
-    quiet_since: Option<Duration>,
-    /// Since when a line has been begun and not ended.
+    /// Set-ups sent on this connection that have no answer yet.
+    open_set_ups: BTreeSet<CallId>,
+    /// Time since which a set-up has been waiting and nothing has been received.
+    silent_since: Option<Duration>,
+    /// Time since which a line has been incomplete.
     partial_line_since: Option<Duration>,
-    /// The state of the group has been told on it; and since when it has been told on others only.
-    notified: bool,
+    /// Whether a group state has been received on this connection.
+    has_group_state: bool,
+    /// Time since which group states have been received on other connections only.
     stalled_since: Option<Duration>,
-    retired: bool,
+    /// Whether the connection gets no further set-ups.
+    is_retired: bool,
 }
 
 /// How a connect failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failure {
-    /// Refused: nothing listens, so no process runs there.
+pub enum ConnectFailure {
+    /// Refused: nothing listens there, so the exchange's process is not running.
     Refused,
-    /// Not up in time, or no way there.
-    Silent,
+    /// Timed out, or no route to the address.
+    Unreachable,
 }
 
 /// All connections to one exchange.
 #[derive(Debug)]
 pub struct ExchangePool {
-    /// Where it listens.
+    /// Address on which the exchange listens.
     pub address: SocketAddr,
-    listed: bool,
-    /// Since when it has not been listed.
-    left: Duration,
-    /// A connection on which a set-up waits and nothing at all was heard for this long is doubted: a second
-    /// one is opened beside it.
-    silence: Duration,
-    /// A connect is under way.
-    pub connecting: bool,
-    conns: Vec<Conn>,
+    is_listed: bool,
+    /// Time at which the exchange was last removed from the list.
+    removed_at: Duration,
+    /// If a set-up waits on a connection and nothing is received for this long, a second one is opened beside
+    /// it.
+    silence_timeout: Duration,
+    /// Whether a connect is in progress.
+    pub is_connecting: bool,
+    connections: Vec<PooledConnection>,
+    /// Messages that wait for a connection; set-ups carry the id of their call, releases do not.
     queue: VecDeque<(Option<CallId>, Vec<u8>)>,
-    next_try: Duration,
-    pause: Duration,
-    /// A connection ended since the last one came up: its process may have died.
-    dropped: bool,
-    /// A connection ended: releases that went to it come on the next one opened from this time on.
-    collect_at: Option<Duration>,
-    tried: bool,
-    /// Last word on any connection, and whether a connect was silent since.
+    next_connect_at: Duration,
+    connect_backoff: Duration,
+    /// Whether all connections have ended since the last successful connect: the process may have died.
+    has_lost_connections: bool,
+    /// Set when a connection has ended: time from which the next one opened collects the releases lost on it.
+    collect_releases_at: Option<Duration>,
+    /// Whether a connect has succeeded or failed.
+    has_tried_connect: bool,
+    /// Time of the last message on any connection.
     last_received_at: Duration,
-    silent: bool,
+    /// Whether a connect has found the exchange unreachable since the last message.
+    is_unreachable: bool,
 }
 
 impl ExchangePool {
-    /// A link with no connection yet.
-    pub fn new(address: SocketAddr, silence: Duration) -> Self {
+    /// Creates a pool without connections.
+    pub fn new(address: SocketAddr, silence_timeout: Duration) -> Self {
         Self {
             address,
-            listed: true,
-            left: Duration::ZERO,
-            silence,
-            connecting: false,
-            conns: Vec::new(),
+            is_listed: true,
+            removed_at: Duration::ZERO,
+            silence_timeout,
+            is_connecting: false,
+            connections: Vec::new(),
             queue: VecDeque::new(),
-            next_try: Duration::ZERO,
-            pause: CONNECT_BACKOFF.0,
-            dropped: false,
-            collect_at: None,
-            tried: false,
+            next_connect_at: Duration::ZERO,
+            connect_backoff: INITIAL_CONNECT_BACKOFF,
+            has_lost_connections: false,
+            collect_releases_at: None,
+            has_tried_connect: false,
             last_received_at: Duration::ZERO,
-            silent: false,
+            is_unreachable: false,
         }
     }
 
-    /// Whether it is listed; else nothing is opened towards it.
+    /// Returns whether the exchange is listed. No connection is opened to one that is not.
     pub fn is_listed(&self) -> bool {
-        self.listed
+        self.is_listed
     }
 
-    /// It is listed, or no longer.
+    /// Records whether the exchange is listed.
     ///
-    /// Guards against what is kept for exchanges that have gone for good: releases that wait for them, and
-    /// connects to an address that another exchange may have by now.
-    pub fn set_listed(&mut self, now: Duration, listed: bool) {
-        if self.listed && !listed {
-            self.left = now;
+    /// An exchange that is no longer listed may never return and its address may belong to another one, so
+    /// its queued releases are dropped and no connect is made to that address.
+    pub fn set_listed(&mut self, now: Duration, is_listed: bool) {
+        if self.is_listed && !is_listed {
+            self.removed_at = now;
             self.queue.retain(|(call, _)| call.is_some());
         }
-        self.listed = listed;
+        self.is_listed = is_listed;
     }
 
-    /// Whether a connect has come to its end, one way or other.
-    pub fn is_tried(&self) -> bool {
-        self.tried
+    /// Returns whether a connect has succeeded or failed.
+    pub fn has_tried_connect(&self) -> bool {
+        self.has_tried_connect
     }
 
-    /// Nothing is left to do for an exchange that is no longer listed.
-    pub fn is_spent(&self) -> bool {
-        !self.listed && !self.connecting && self.conns.is_empty() && self.queue.is_empty()
+    /// Returns whether the exchange is no longer listed and nothing is left to do for it.
+    pub fn is_removable(&self) -> bool {
+        !self.is_listed && !self.is_connecting && self.connections.is_empty() && self.queue.is_empty()
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.conns.len()
+        self.connections.len()
     }
 
-    fn best(&mut self) -> Option<&mut Conn> {
-        let fit = self.conns.iter_mut().filter(|c| c.writes.is_open());
-        fit.max_by_key(|c| (!c.retired, c.quiet_since.is_none(), c.last_received_at, c.id))
+    fn best_connection(&mut self) -> Option<&mut PooledConnection> {
+        let open = self.connections.iter_mut().filter(|c| c.writes.is_open());
+        open.max_by_key(|c| (!c.is_retired, c.silent_since.is_none(), c.last_received_at, c.id))
     }
 
-    /// Sends a set-up, or queues it for the connect that is due now.
+    /// Sends a set-up, or queues it and makes a connect due at once.
     pub fn start(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
-        match self.best().filter(|c| !c.retired) {
-            Some(conn) => {
-                conn.writes.enqueue(&bytes);
-                conn.set_ups.insert(call.clone());
-                conn.quiet_since.get_or_insert(now);
+        match self.best_connection().filter(|c| !c.is_retired) {
+            Some(connection) => {
+                connection.writes.enqueue(&bytes);
+                connection.open_set_ups.insert(call.clone());
+                connection.silent_since.get_or_insert(now);
             }
             None => {
                 self.queue.push_back((Some(call.clone()), bytes));
-                self.next_try = now;
+                self.next_connect_at = now;
             }
         }
     }
 
-    /// Gives up a set-up or releases a call, on the connection of its set-up or else on any.
+    /// Cancels a set-up or releases a call, on the connection of its set-up if that is open, else on any.
     pub fn finish(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
         let queued = self.queue.len();
         self.queue.retain(|(id, _)| id.as_ref() != Some(call));
         if queued != self.queue.len() {
-            return; // it never left
+            return; // the set-up was still queued
         }
-        let carrier = self.conns.iter_mut().find(|c| c.set_ups.contains(call) && c.writes.is_open());
-        if let Some(conn) = carrier {
-            conn.set_ups.remove(call);
-            conn.writes.enqueue(&bytes);
+        let own = self.connections.iter_mut().find(|c| c.open_set_ups.contains(call) && c.writes.is_open());
+        if let Some(connection) = own {
+            connection.open_set_ups.remove(call);
+            connection.writes.enqueue(&bytes);
             return;
         }
-        let room = self.listed && self.queue.len() < MAX_QUEUED_RELEASES;
-        match self.best() {
-            Some(conn) => conn.writes.enqueue(&bytes),
-            None if room => {
+        let is_queueable = self.is_listed && self.queue.len() < MAX_QUEUED_RELEASES;
+        match self.best_connection() {
+            Some(connection) => connection.writes.enqueue(&bytes),
+            None if is_queueable => {
                 self.queue.push_back((None, bytes));
-                self.next_try = self.next_try.min(now + self.pause);
+                self.next_connect_at = self.next_connect_at.min(now + self.connect_backoff);
             }
             None => {}
         }
     }
 
-    /// Something was heard on a connection; of a set-up, if a call is named.
-    pub fn on_line(&mut self, now: Duration, id: ConnId, call: Option<&CallId>) {
-        (self.last_received_at, self.silent) = (now, false);
-        let Some(conn) = self.conns.iter_mut().find(|c| c.id == id) else { return };
-        (conn.last_received_at, conn.stalled_since) = (now, None);
+    /// Records a message on a connection. `call` is set if the message answers the set-up of that call.
+    pub fn on_line(&mut self, now: Duration, id: ConnectionId, call: Option<&CallId>) {
+        (self.last_received_at, self.is_unreachable) = (now, false);
+        let Some(connection) = self.connections.iter_mut().find(|c| c.id == id) else { return };
+        (connection.last_received_at, connection.stalled_since) = (now, None);
         if let Some(call) = call {
-            conn.set_ups.remove(call);
+            connection.open_set_ups.remove(call);
         }
-        conn.quiet_since = (!conn.set_ups.is_empty()).then_some(now);
-        conn.retired = false;
-        // The others get no more set-ups. They stay open, since what ends a standing call comes on the
-        // connection of its set-up: a release that crossed a close would wait for the next one opened.
-        self.conns
+        connection.silent_since = (!connection.open_set_ups.is_empty()).then_some(now);
+        connection.is_retired = false;
+        // The other connections get no more set-ups but stay open: a standing call is released on the
+        // connection of its set-up, and a release that crossed a close would wait for the next connection
+        // opened.
+        self.connections
             .iter_mut()
             .filter(|c| c.id != id && c.last_received_at < now)
-            .for_each(|c| c.retired = true);
+            .for_each(|c| c.is_retired = true);
     }
 
-    /// The state of the group was told on a connection; after the first time that is news to all of them.
-    pub fn on_group_state(&mut self, now: Duration, id: ConnId) {
-        let Some(conn) = self.conns.iter_mut().find(|c| c.id == id) else { return };
-        if std::mem::replace(&mut conn.notified, true) {
-            let deaf = self.conns.iter_mut().filter(|c| c.id != id && now >= c.last_received_at + STALLED.0);
-            deaf.for_each(|c| c.stalled_since = c.stalled_since.or(Some(now)));
+    /// Records a group state on a connection. The first one on a connection tells nothing about the others,
+    /// since an exchange sends it when the connection opens; each later one is sent on all connections.
+    pub fn on_group_state(&mut self, now: Duration, id: ConnectionId) {
+        let Some(connection) = self.connections.iter_mut().find(|c| c.id == id) else { return };
+        if std::mem::replace(&mut connection.has_group_state, true) {
+            let silent = self
+                .connections
+                .iter_mut()
+                .filter(|c| c.id != id && now >= c.last_received_at + MIN_SILENCE_BEFORE_STALL);
+            silent.for_each(|c| c.stalled_since = c.stalled_since.or(Some(now)));
         }
     }
 
-    /// After what was read last, a connection is in the middle of a line or not.
-    pub fn on_read(&mut self, now: Duration, id: ConnId, is_partial: bool) {
-        if let Some(conn) = self.conns.iter_mut().find(|c| c.id == id) {
-            conn.partial_line_since = is_partial.then(|| conn.partial_line_since.unwrap_or(now));
-            // What is told may arrive in pieces: it is on its way.
-            conn.stalled_since = None;
+    /// Records whether the last read on a connection ended in the middle of a line.
+    pub fn on_read(&mut self, now: Duration, id: ConnectionId, is_partial: bool) {
+        if let Some(connection) = self.connections.iter_mut().find(|c| c.id == id) {
+            connection.partial_line_since = is_partial.then(|| connection.partial_line_since.unwrap_or(now));
+            // A group state may arrive in several reads, so the connection has not stalled.
+            connection.stalled_since = None;
         }
     }
 
-    /// Closes connections that are of no more use: cut short in the middle of a line, silent while others are told
-    /// news, or to an exchange that has left the membership. On the last, set-ups that are open are awaited for a
-    /// while.
+    /// Closes connections that are of no further use: those with an incomplete line that has timed out, those
+    /// that have stalled, and those to an exchange that is no longer listed. The latter are kept for a while
+    /// if set-ups are open on them.
     pub fn sweep(&self, now: Duration) {
-        let over = |since: Option<Duration>, limit| since.is_some_and(|since| now >= since + limit);
-        let is_removed =
-            |c: &Conn| !self.listed && (c.set_ups.is_empty() || now >= self.left + REMOVED_LINGER);
-        for conn in &self.conns {
-            if is_removed(conn) {
-                conn.writes.close(CloseReason::Removed);
-            } else if over(conn.partial_line_since, PARTIAL_LINE_TIMEOUT) {
-                conn.writes.close(CloseReason::MessageTimeout);
-            } else if over(conn.stalled_since, STALLED.1) {
-                conn.writes.close(CloseReason::Stalled);
+        let has_expired = |since: Option<Duration>, limit| since.is_some_and(|since| now >= since + limit);
+        let is_removed = |c: &PooledConnection| {
+            !self.is_listed && (c.open_set_ups.is_empty() || now >= self.removed_at + REMOVED_LINGER)
+        };
+        for connection in &self.connections {
+            if is_removed(connection) {
+                connection.writes.close(CloseReason::Removed);
+            } else if has_expired(connection.partial_line_since, PARTIAL_LINE_TIMEOUT) {
+                connection.writes.close(CloseReason::MessageTimeout);
+            } else if has_expired(connection.stalled_since, STALL_TIMEOUT) {
+                connection.writes.close(CloseReason::Stalled);
             }
         }
     }
 
-    /// Takes back the set-ups that wait for a connection: they never left.
-    pub fn take_queued(&mut self) -> Vec<CallId> {
+    /// Removes the queued set-ups, which were never sent, and returns their calls.
+    pub fn take_queued_set_ups(&mut self) -> Vec<CallId> {
         let set_ups = self.queue.iter().filter_map(|(call, _)| call.clone()).collect();
         self.queue.retain(|(call, _)| call.is_none());
         set_ups
     }
 
-    /// Its address belongs to another exchange by now: the process that the connections led to has gone.
-    pub fn give_up_address(&self) {
-        self.conns.iter().for_each(|c| c.writes.close(CloseReason::Removed));
+    /// Closes all connections because the address now belongs to another exchange: the process that they led
+    /// to has ended.
+    pub fn on_address_reassigned(&self) {
+        self.connections.iter().for_each(|c| c.writes.close(CloseReason::Removed));
     }
 
-    /// Closes all connections once what is queued has been written.
+    /// Closes all connections once their queued bytes have been written.
     pub fn close(&self) {
-        self.conns.iter().for_each(|c| c.writes.close(CloseReason::Shutdown));
+        self.connections.iter().for_each(|c| c.writes.close(CloseReason::Shutdown));
     }
 
-    /// Writes straight back on a connection.
-    pub fn answer(&self, id: ConnId, bytes: &[u8]) {
-        if let Some(conn) = self.conns.iter().find(|c| c.id == id) {
-            conn.writes.enqueue(bytes);
+    /// Queues bytes on the given connection.
+    pub fn send(&self, id: ConnectionId, bytes: &[u8]) {
+        if let Some(connection) = self.connections.iter().find(|c| c.id == id) {
+            connection.writes.enqueue(bytes);
         }
     }
 
-    /// A connect succeeded: what was queued goes out on it.
-    pub fn connected(&mut self, now: Duration, id: ConnId, writes: SharedWriteBuffer) {
-        (self.connecting, self.dropped, self.tried, self.pause) = (false, false, true, CONNECT_BACKOFF.0);
-        self.collect_at = self.collect_at.filter(|at| *at > now);
-        (self.last_received_at, self.silent) = (now, false);
-        let mut set_ups = BTreeSet::new();
+    /// Adds a new connection and sends the queued messages on it.
+    pub fn on_connected(&mut self, now: Duration, id: ConnectionId, writes: SharedWriteBuffer) {
+        (self.is_connecting, self.has_lost_connections, self.has_tried_connect, self.connect_backoff) =
+            (false, false, true, INITIAL_CONNECT_BACKOFF);
+        self.collect_releases_at = self.collect_releases_at.filter(|at| *at > now);
+        (self.last_received_at, self.is_unreachable) = (now, false);
+        let mut open_set_ups = BTreeSet::new();
         for (call, bytes) in self.queue.drain(..) {
             writes.enqueue(&bytes);
-            set_ups.extend(call);
+            open_set_ups.extend(call);
         }
-        let quiet_since = (!set_ups.is_empty()).then_some(now);
-        if !self.listed && set_ups.is_empty() {
+        let silent_since = (!open_set_ups.is_empty()).then_some(now);
+        if !self.is_listed && open_set_ups.is_empty() {
             writes.close(CloseReason::Removed);
         }
-        self.conns.push(Conn {
+        self.connections.push(PooledConnection {
             id,
             writes,
             last_received_at: now,
-            set_ups,
-            quiet_since,
+            open_set_ups,
+            silent_since,
             partial_line_since: None,
-            notified: false,
+            has_group_state: false,
             stalled_since: None,
-            retired: false,
+            is_retired: false,
         });
     }
 
-    /// A connect failed; the set-ups named never ran. True: its process has ended.
-    pub fn failed(&mut self, now: Duration, failure: Failure) -> (Vec<CallId>, bool) {
-        (self.connecting, self.tried) = (false, true);
-        self.silent |= failure == Failure::Silent;
-        self.next_try = now + self.pause;
-        self.pause = (self.pause * 2).min(CONNECT_BACKOFF.1);
-        let set_ups = self.take_queued();
-        let ended = failure == Failure::Refused && std::mem::take(&mut self.dropped);
-        if ended {
-            self.queue.clear(); // what was to be released there has gone with its process
+    /// Records a failed connect. Returns the calls whose queued set-ups were never sent, and whether the
+    /// failure proves that the exchange's process has ended.
+    pub fn on_connect_failed(&mut self, now: Duration, failure: ConnectFailure) -> (Vec<CallId>, bool) {
+        (self.is_connecting, self.has_tried_connect) = (false, true);
+        self.is_unreachable |= failure == ConnectFailure::Unreachable;
+        self.next_connect_at = now + self.connect_backoff;
+        self.connect_backoff = (self.connect_backoff * 2).min(MAX_CONNECT_BACKOFF);
+        let set_ups = self.take_queued_set_ups();
+        let has_process_ended =
+            failure == ConnectFailure::Refused && std::mem::take(&mut self.has_lost_connections);
+        if has_process_ended {
+            self.queue.clear(); // the calls to be released ended with the process
         }
-        (set_ups, ended)
+        (set_ups, has_process_ended)
     }
 
-    /// A connection has ended; the set-ups named broke on their way.
-    pub fn closed(&mut self, now: Duration, id: ConnId) -> Vec<CallId> {
-        let Some(at) = self.conns.iter().position(|c| c.id == id) else { return Vec::new() };
-        let conn = self.conns.swap_remove(at);
-        self.collect_at = Some(now + RELEASE_COLLECT_DELAY);
-        if self.conns.is_empty() {
-            self.dropped = true;
-            self.next_try = now;
+    /// Removes a connection that has ended, and returns the calls whose set-ups were open on it.
+    pub fn on_closed(&mut self, now: Duration, id: ConnectionId) -> Vec<CallId> {
+        let Some(index) = self.connections.iter().position(|c| c.id == id) else { return Vec::new() };
+        let connection = self.connections.swap_remove(index);
+        self.collect_releases_at = Some(now + RELEASE_COLLECT_DELAY);
+        if self.connections.is_empty() {
+            self.has_lost_connections = true;
+            self.next_connect_at = now;
         }
-        conn.set_ups.into_iter().collect()
+        connection.open_set_ups.into_iter().collect()
     }
 
-    /// A new process has taken the place of the old one: its connections lead nowhere.
-    pub fn replace_connections(&mut self, now: Duration) {
-        self.conns.iter_mut().for_each(|c| c.retired = true);
-        (self.next_try, self.pause) = (now, CONNECT_BACKOFF.0);
+    /// Retires all connections because a new process has replaced the one that they led to.
+    pub fn retire_connections(&mut self, now: Duration) {
+        self.connections.iter_mut().for_each(|c| c.is_retired = true);
+        (self.next_connect_at, self.connect_backoff) = (now, INITIAL_CONNECT_BACKOFF);
     }
 
-    /// Nothing has been heard for a while; if calls stand there, it is to be seen why.
+    /// Returns whether nothing has been received for a while. If calls stand at the exchange, the caller then
+    /// opens another connection to find out why.
     pub fn is_idle(&self, now: Duration) -> bool {
-        now >= self.last_received_at + IDLE
+        now >= self.last_received_at + IDLE_THRESHOLD
     }
 
-    /// It has been out of reach for so long that what stood there must be taken for over.
+    /// Returns whether the exchange has been unreachable for so long that its calls must be taken for ended.
     pub fn is_out_of_reach(&self, now: Duration) -> bool {
-        self.silent && now >= self.last_received_at + OUT_OF_REACH
+        self.is_unreachable && now >= self.last_received_at + OUT_OF_REACH_TIMEOUT
     }
 
-    /// Whether there is room for another connection; if not, the one heard least lately is closed.
+    /// Returns whether another connection may be opened. If not, closes the one that received a message least
+    /// recently.
     pub fn make_room(&self) -> bool {
-        if self.conns.len() >= MAX_CONNECTIONS {
-            let fit = self.conns.iter().filter(|c| c.writes.is_open());
-            fit.min_by_key(|c| c.last_received_at)
+        if self.connections.len() >= MAX_CONNECTIONS {
+            let open = self.connections.iter().filter(|c| c.writes.is_open());
+            open.min_by_key(|c| c.last_received_at)
                 .into_iter()
                 .for_each(|c| c.writes.close(CloseReason::Evicted));
         }
-        self.conns.len() < MAX_CONNECTIONS
+        self.connections.len() < MAX_CONNECTIONS
     }
 
-    /// Whether a connect should be made now; `missed`: calls stand there and nothing is heard of them.
-    pub fn wants_connect(&self, now: Duration, missed: bool) -> bool {
-        let silent = |c: &Conn| c.quiet_since.is_some_and(|since| now >= since + self.silence);
-        // Guards against a machine that vanished and came back: its old connections stay open and silent.
-        let collect = self.collect_at.is_some_and(|at| now >= at);
-        // One that has just ended is made good when its releases are collected.
-        let open = self.conns.iter().filter(|c| c.writes.is_open()).count();
-        let few = open < MIN_IDLE_CONNECTIONS && self.collect_at.is_none();
-        let useless = missed
-            || collect
-            || few
-            || self.conns.iter().all(|c| c.retired || silent(c) || !c.writes.is_open());
-        // A call's release comes on the next connection opened, so drains and losses keep a link wanted.
-        self.listed && useless && !self.connecting && now >= self.next_try
+    /// Returns whether a connect should be made now. `is_idle_with_calls` tells that calls stand at the
+    /// exchange and nothing has been received from it for a while.
+    pub fn should_connect(&self, now: Duration, is_idle_with_calls: bool) -> bool {
+        // After a machine has vanished and come back, its old connections stay open and silent.
+        let is_silent =
+            |c: &PooledConnection| c.silent_since.is_some_and(|since| now >= since + self.silence_timeout);
+        let is_collect_due = self.collect_releases_at.is_some_and(|at| now >= at);
+        // A connection that has just ended is replaced when its releases are collected.
+        let open = self.connections.iter().filter(|c| c.writes.is_open()).count();
+        let has_too_few = open < MIN_IDLE_CONNECTIONS && self.collect_releases_at.is_none();
+        let is_needed = is_idle_with_calls
+            || is_collect_due
+            || has_too_few
+            || self.connections.iter().all(|c| c.is_retired || is_silent(c) || !c.writes.is_open());
+        // Connections are also opened to a draining exchange and after a loss, since the releases of its
+        // calls arrive on the next connection opened.
+        self.is_listed && is_needed && !self.is_connecting && now >= self.next_connect_at
     }
 
-    /// What became of a set-up whose connection ended or never came up.
-    pub fn status(ran: bool) -> Status {
-        if ran {
+    /// Returns the outcome of a set-up whose connection ended or never came up.
+    pub fn status_after_loss(may_have_run: bool) -> Status {
+        if may_have_run {
             Status::Reset
         } else {
             Status::Unreachable
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl Platform {
-    pub(in crate::net) fn exchange_line(&mut self, exchange: &ExchangeId, conn: ConnId, line: &jsonl::Line) {
+    pub(in crate::net) fn exchange_line(
+        &mut self,
+        exchange: &ExchangeId,
+        conn: ConnectionId,
+        line: &jsonl::Line,
+    ) {
         if self.is_stopped {
             return; // no client is left to be told; the exchange tells the next process
         }
@@ -43,16 +48,16 @@
     }
 
     /// After what was read last, an exchange is in the middle of a line or not.
-    pub(in crate::net) fn exchange_reading(&mut self, exchange: &ExchangeId, conn: ConnId, half: bool) {
+    pub(in crate::net) fn exchange_reading(&mut self, exchange: &ExchangeId, conn: ConnectionId, half: bool) {
         let now = self.clock.now();
         if let Some(pool) = self.pools.get_mut(exchange) {
             pool.on_read(now, conn, half);
         }
     }
 
-    pub(super) fn answer(&self, exchange: &ExchangeId, conn: ConnId, bytes: &[u8]) {
+    pub(super) fn answer(&self, exchange: &ExchangeId, conn: ConnectionId, bytes: &[u8]) {
         if let Some(pool) = self.pools.get(exchange) {
-            pool.answer(conn, bytes);
+            pool.send(conn, bytes);
         }
     }
 
@@ -61,7 +66,7 @@
     }
 
     pub(super) fn connect(&mut self, exchange: &ExchangeId) {
-        let (now, id) = (self.clock.now(), ConnId(self.conn()));
+        let (now, id) = (self.clock.now(), ConnectionId(self.conn()));
         let Some(pool) = self.pools.get_mut(exchange) else { return };
         let missed = pool.is_idle(now) && self.core.stands_at(exchange);
         if missed && pool.is_out_of_reach(now) {
@@ -69,10 +74,10 @@
             self.core.cut(now, exchange);
             return self.flush();
         }
-        if self.is_stopped || !pool.wants_connect(now, missed) || !pool.make_room() {
+        if self.is_stopped || !pool.should_connect(now, missed) || !pool.make_room() {
             return;
         }
-        pool.connecting = true;
+        pool.is_connecting = true;
         let (address, within) = (pool.address, self.connect_timeout);
         let Some(me) = self.me.upgrade() else { return };
         tokio::task::spawn_local(sockets::dial(me, exchange.clone(), id, address, within));
@@ -81,13 +86,13 @@
     pub(in crate::net) fn exchange_up(
         &mut self,
         exchange: &ExchangeId,
-        id: ConnId,
+        id: ConnectionId,
         writes: SharedWriteBuffer,
     ) {
         let now = self.clock.now();
         debug!(self.log, "exchange connected"; "exchange_id" => &*exchange.0, "connection_id" => id.0);
         if let Some(pool) = self.pools.get_mut(exchange) {
-            pool.connected(now, id, writes);
+            pool.on_connected(now, id, writes);
         }
     }
 
@@ -96,7 +101,10 @@
         let refused = error.kind() == io::ErrorKind::ConnectionRefused;
         debug!(self.log, "exchange connect failed"; "exchange_id" => &*exchange.0, "error" => %error);
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        let (unsent, died) = pool.failed(now, if refused { Failure::Refused } else { Failure::Silent });
+        let (unsent, died) = pool.on_connect_failed(
+            now,
+            if refused { ConnectFailure::Refused } else { ConnectFailure::Unreachable },
+        );
         for id in unsent {
             self.on_connection_reset(exchange, &id, false);
         }
@@ -110,7 +118,7 @@
     pub(in crate::net) fn exchange_down(
         &mut self,
         exchange: &ExchangeId,
-        id: ConnId,
+        id: ConnectionId,
         reason: CloseReason,
         ended: &io::Result<()>,
     ) {
@@ -119,7 +127,7 @@
             "reason" => reason.as_str(), "end" => ?ended);
         self.metrics.count_exchange_close(reason.as_str());
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        for id in pool.closed(now, id) {
+        for id in pool.on_closed(now, id) {
             // Guards against circuits held for nobody: the set-up may have run, and its answer been spoilt or
             // cut off. Whatever stands there is released before the call goes there again.
             let exchange_id = Some(exchange.clone());
@@ -131,7 +139,7 @@
     }
 
     pub(super) fn on_connection_reset(&mut self, exchange: &ExchangeId, id: &CallId, ran: bool) {
-        let status = ExchangePool::status(ran);
+        let status = ExchangePool::status_after_loss(ran);
         if self.core.calls.open.get(id).is_some_and(|c| !c.stands) {
             debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
                 "status" => ?status);
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -29,7 +29,7 @@
     self, Clock, CloseReason, SharedWriteBuffer, TimerDriven, WriteBudget, WriteBuffer,
 };
 use crate::net::enumeration::{self, Resolved};
-use crate::net::exchange_pool::{ConnId, ExchangePool, Failure};
+use crate::net::exchange_pool::{ConnectFailure, ConnectionId, ExchangePool};
 use crate::net::{client_connections::ClientConnections, sockets};
 use crate::protocol::sip::{Message, Start};
 use crate::protocol::{coordinator, jsonl, sip};
@@ -265,7 +265,7 @@
     /// Whether every listed exchange has been reached or has failed to answer; the group states that the
     /// decisions need have then come in.
     fn is_ready(&self) -> bool {
-        let tried = self.pools.values().filter(|l| l.is_listed()).all(ExchangePool::is_tried);
+        let tried = self.pools.values().filter(|l| l.is_listed()).all(ExchangePool::has_tried_connect);
         !self.draining && (tried || self.clock.now() > self.started + 2 * self.connect_timeout)
     }
 
@@ -288,16 +288,16 @@
             pool.set_listed(now, entry.health != Health::Gone);
             let moved = std::mem::replace(&mut pool.address, *address) != *address;
             if moved || before.get(id).is_some_and(|up| *up != entry.up_since) {
-                pool.replace_connections(now);
+                pool.retire_connections(now);
             }
             info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.place.0,
                 "health" => ?entry.health, "up_since" => ?entry.up_since, "event" => self.last_event);
         }
         for Listed { address, .. } in lines.iter().filter(|l| l.entry.health != Health::Gone) {
             let former = self.pools.values().filter(|p| !p.is_listed() && p.address == *address);
-            former.for_each(ExchangePool::give_up_address);
+            former.for_each(ExchangePool::on_address_reassigned);
         }
-        self.pools.retain(|_, l| !l.is_spent());
+        self.pools.retain(|_, l| !l.is_removable());
         let entries = lines.iter().map(|l| l.entry.clone()).collect();
         self.core.directory(now, kind, entries);
         self.withdraw_queued(lines);
@@ -308,7 +308,7 @@
     /// connection may come up long after the exchange's drain was told.
     fn withdraw_queued(&mut self, lines: &[Listed]) {
         for Listed { entry, .. } in lines.iter().filter(|l| l.entry.health != Health::Live) {
-            let queued = self.pools.get_mut(&entry.exchange).map(ExchangePool::take_queued);
+            let queued = self.pools.get_mut(&entry.exchange).map(ExchangePool::take_queued_set_ups);
             for call in queued.unwrap_or_default() {
                 self.on_connection_reset(&entry.exchange, &call, false);
             }
@@ -357,7 +357,7 @@
             self.clients.request_close(client, CloseReason::MessageTimeout);
         }
         self.pools.values().for_each(|l| l.sweep(now));
-        self.pools.retain(|_, l| !l.is_spent());
+        self.pools.retain(|_, l| !l.is_removable());
         let exchanges: Vec<ExchangeId> = self.pools.keys().cloned().collect();
         exchanges.iter().for_each(|e| self.connect(e));
     }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::connection::{self, CloseReason, SharedWriteBuffer};
-use super::exchange_pool::ConnId;
+use super::exchange_pool::ConnectionId;
 use super::platform::{Handle, DATAGRAM};
 use crate::interface::ExchangeId;
 use crate::protocol::{coordinator, jsonl, sip};
@@ -28,7 +28,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Opens a connection to an exchange, and reads and writes on it until it ends.
-pub async fn dial(me: Handle, exchange: ExchangeId, id: ConnId, address: SocketAddr, within: Duration) {
+pub async fn dial(me: Handle, exchange: ExchangeId, id: ConnectionId, address: SocketAddr, within: Duration) {
     match connection::connect(address, within).await {
         Ok(stream) => {
             let writes: SharedWriteBuffer = me.borrow().server_buffer();
--- a/tests/exchange_pool.rs
+++ b/tests/exchange_pool.rs
@@ -5,7 +5,7 @@
 
 use quartzspindle::interface::CallId;
 use quartzspindle::net::connection::{WriteBudget, WriteBuffer, SERVER_LIMITS};
-use quartzspindle::net::exchange_pool::{ConnId, ExchangePool, Failure};
+use quartzspindle::net::exchange_pool::{ConnectFailure, ConnectionId, ExchangePool};
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -13,30 +13,34 @@
 
 fn up() -> ExchangePool {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
-    pool.connected(ms(1000), ConnId(1), Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))));
+    pool.on_connected(
+        ms(1000),
+        ConnectionId(1),
+        Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
+    );
     pool
 }
 
 #[test]
 fn an_exchange_that_neither_speaks_nor_connects_is_out_of_reach_in_time_for_its_releases() {
     let mut pool = up();
-    pool.on_line(ms(2000), ConnId(1), None);
-    assert!(!pool.is_idle(ms(3400)) && pool.is_idle(ms(3500)) && pool.wants_connect(ms(5000), true));
+    pool.on_line(ms(2000), ConnectionId(1), None);
+    assert!(!pool.is_idle(ms(3400)) && pool.is_idle(ms(3500)) && pool.should_connect(ms(5000), true));
     assert!(!pool.is_out_of_reach(ms(20_000)), "silence alone may be an idle night");
-    pool.failed(ms(5500), Failure::Silent);
+    pool.on_connect_failed(ms(5500), ConnectFailure::Unreachable);
     assert!(!pool.is_out_of_reach(ms(9000)) && pool.is_out_of_reach(ms(9500)));
-    pool.on_line(ms(9600), ConnId(1), None);
+    pool.on_line(ms(9600), ConnectionId(1), None);
     assert!(!pool.is_out_of_reach(ms(20_000)));
 }
 
 #[test]
 fn only_a_refusal_after_a_loss_proves_that_a_process_died() {
     let mut pool = up();
-    assert!(!pool.failed(ms(1100), Failure::Refused).1);
-    pool.closed(ms(1200), ConnId(1));
-    assert!(!pool.failed(ms(1300), Failure::Silent).1);
-    assert!(pool.failed(ms(1400), Failure::Refused).1);
-    assert!(!pool.failed(ms(1500), Failure::Refused).1, "told once");
+    assert!(!pool.on_connect_failed(ms(1100), ConnectFailure::Refused).1);
+    pool.on_closed(ms(1200), ConnectionId(1));
+    assert!(!pool.on_connect_failed(ms(1300), ConnectFailure::Unreachable).1);
+    assert!(pool.on_connect_failed(ms(1400), ConnectFailure::Refused).1);
+    assert!(!pool.on_connect_failed(ms(1500), ConnectFailure::Refused).1, "told once");
 }
 
 /// Guards against what waits for an exchange that has gone, and against connects to its address, which
@@ -45,10 +49,10 @@
 fn nothing_is_kept_for_an_exchange_that_is_no_longer_listed() {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.finish(ms(1000), &CallId("a".into()), vec![1]);
-    assert!(pool.wants_connect(ms(2000), false) && !pool.is_spent());
+    assert!(pool.should_connect(ms(2000), false) && !pool.is_removable());
     pool.set_listed(ms(2000), false);
     pool.finish(ms(2100), &CallId("b".into()), vec![2]);
-    assert!(!pool.wants_connect(ms(3000), true) && pool.is_spent());
+    assert!(!pool.should_connect(ms(3000), true) && pool.is_removable());
 }
 
 /// Guards against a connection on which nothing comes any more while its exchange lives: what it still tells
@@ -60,11 +64,11 @@
         Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
         Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
     ];
-    pool.connected(ms(1500), ConnId(2), outboxes[0].clone());
-    pool.connected(ms(1500), ConnId(3), outboxes[1].clone());
+    pool.on_connected(ms(1500), ConnectionId(2), outboxes[0].clone());
+    pool.on_connected(ms(1500), ConnectionId(3), outboxes[1].clone());
     let tell = |pool: &mut ExchangePool, at, id| {
-        pool.on_line(at, ConnId(id), None);
-        pool.on_group_state(at, ConnId(id));
+        pool.on_line(at, ConnectionId(id), None);
+        pool.on_group_state(at, ConnectionId(id));
     };
     tell(&mut pool, ms(1510), 2); // the first of each connection is news to nobody else
     tell(&mut pool, ms(1510), 3);
@@ -83,17 +87,25 @@
 #[test]
 fn after_the_end_of_a_connection_another_is_opened_for_what_was_lost_on_it() {
     let mut pool = up();
-    pool.connected(ms(1000), ConnId(2), Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))));
-    assert!(!pool.wants_connect(ms(1100), false));
-    pool.closed(ms(1200), ConnId(1));
-    assert!(!pool.wants_connect(ms(1400), false) && pool.wants_connect(ms(1450), false));
-    pool.connected(ms(1460), ConnId(3), Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))));
-    assert!(!pool.wants_connect(ms(9000), false));
+    pool.on_connected(
+        ms(1000),
+        ConnectionId(2),
+        Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
+    );
+    assert!(!pool.should_connect(ms(1100), false));
+    pool.on_closed(ms(1200), ConnectionId(1));
+    assert!(!pool.should_connect(ms(1400), false) && pool.should_connect(ms(1450), false));
+    pool.on_connected(
+        ms(1460),
+        ConnectionId(3),
+        Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
+    );
+    assert!(!pool.should_connect(ms(9000), false));
     for id in 4..6 {
         assert!(pool.make_room());
-        pool.connected(
+        pool.on_connected(
             ms(1500),
-            ConnId(id),
+            ConnectionId(id),
             Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
         );
     }
@@ -104,20 +116,21 @@
     Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000)))
 }
 
-/// Connections to an exchange that had been removed counted against the four of the one that took its address.
+/// Connections to an exchange that had been removed counted against the four of the one that took its
+/// address.
 #[test]
 fn connections_to_a_removed_exchange_end_once_no_set_up_is_open_or_its_address_is_taken() {
     let (idle, busy, late) = (buffer(), buffer(), buffer());
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
-    pool.connected(ms(1000), ConnId(1), idle.clone());
-    pool.connected(ms(1010), ConnId(2), busy.clone());
+    pool.on_connected(ms(1000), ConnectionId(1), idle.clone());
+    pool.on_connected(ms(1010), ConnectionId(2), busy.clone());
     pool.start(ms(1020), &CallId("a".into()), b"set-up".to_vec());
     pool.set_listed(ms(1100), false);
     pool.sweep(ms(1150));
     assert!(!idle.is_open() && busy.is_open(), "the open set-up is awaited");
-    pool.connected(ms(1200), ConnId(3), late.clone());
+    pool.on_connected(ms(1200), ConnectionId(3), late.clone());
     assert!(!late.is_open(), "a connect that was under way");
-    pool.give_up_address();
+    pool.on_address_reassigned();
     assert!(!busy.is_open());
 }
 
@@ -126,14 +139,14 @@
 fn a_connection_on_which_news_arrives_in_pieces_is_not_stalled() {
     let (whole, pieces) = (buffer(), buffer());
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
-    pool.connected(ms(1000), ConnId(1), whole);
-    pool.connected(ms(1000), ConnId(2), pieces.clone());
+    pool.on_connected(ms(1000), ConnectionId(1), whole);
+    pool.on_connected(ms(1000), ConnectionId(2), pieces.clone());
     for at in [1010, 2000] {
-        pool.on_line(ms(at), ConnId(1), None);
-        pool.on_group_state(ms(at), ConnId(1));
+        pool.on_line(ms(at), ConnectionId(1), None);
+        pool.on_group_state(ms(at), ConnectionId(1));
     }
     for at in [2040, 2080, 2120] {
-        pool.on_read(ms(at), ConnId(2), true);
+        pool.on_read(ms(at), ConnectionId(2), true);
         pool.sweep(ms(at + 20));
     }
     assert!(pieces.is_open());
@@ -145,6 +158,6 @@
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.start(ms(1000), &CallId("a".into()), b"set-up".to_vec());
     pool.finish(ms(1000), &CallId("b".into()), b"release".to_vec());
-    assert_eq!(pool.take_queued(), [CallId("a".into())]);
-    assert!(pool.take_queued().is_empty() && !pool.is_spent(), "the release still waits");
+    assert_eq!(pool.take_queued_set_ups(), [CallId("a".into())]);
+    assert!(pool.take_queued_set_ups().is_empty() && !pool.is_removable(), "the release still waits");
 }
