--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -94,7 +94,7 @@
         debug!(self.log, "request taken"; "call_id" => &*id.0, "connection_id" => client,
             "class" => offer.class, "left_ms" => offer.remaining.as_millis(), "transit" => offer.transit);
         self.invites.insert(id.clone(), Invite { client, echoed_headers: echoed });
-        self.clients.begin(client, id);
+        self.clients.begin_request(client, id);
         let request = Request { origin: Origin(client), offer, description: description.into() };
         match dest {
             Some(_) => self.core.request(now, request),
@@ -233,7 +233,7 @@
     /// Removes an open request, on its connection as well.
     pub(super) fn take_invite(&mut self, id: &CallId) -> Option<Invite> {
         let invite = self.invites.remove(id)?;
-        self.clients.end(invite.client, id);
+        self.clients.end_request(invite.client, id);
         Some(invite)
     }
 
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -50,7 +50,7 @@
             }
             Effect::Answer { call, description, .. } => {
                 if let Some(invite) = self.invites.get(&call) {
-                    self.clients.on_answered(invite.client);
+                    self.clients.on_call_answered(invite.client);
                 }
                 if !self.answer_request(&call, 200, "stands", None, description.as_bytes()) {
                     self.core.hang_up(now, &call, CUT);
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -235,7 +235,7 @@
     /// client is reachable, messages of exchanges can no longer be passed on, and the router stops.
     pub fn close_idle_clients(&mut self) {
         self.clients.close_idle(self.clock.now());
-        if !self.clients.any_reachable() {
+        if !self.clients.has_reachable_client() {
             self.stop();
         }
     }
--- a/src/net/platform/releases.rs
+++ b/src/net/platform/releases.rs
@@ -6,7 +6,7 @@
     /// Releases a call at its client: on the client's own connection if it is open, else on any other, else
     /// as soon as a client connects.
     pub(super) fn release_to_client(&mut self, client: Option<u64>, call: CallId, cause: u32) {
-        self.send_release(self.clients.for_release(client, None), call, cause, 1);
+        self.send_release(self.clients.select_for_release(client, None), call, cause, 1);
     }
 
     /// Repeats an unconfirmed release on another connection, unless it has been sent often enough.
@@ -14,7 +14,7 @@
         if let Some(release) =
             self.unconfirmed_releases.remove(call).filter(|r| r.send_count < MAX_RELEASE_SENDS)
         {
-            let other = self.clients.for_release(None, Some(release.client));
+            let other = self.clients.select_for_release(None, Some(release.client));
             self.send_release(other, call.clone(), release.cause, release.send_count + 1);
         }
     }
