--- a/src/net/client_connections.rs
+++ b/src/net/client_connections.rs
@@ -86,8 +86,8 @@
 
     /// Adds a new connection. Returns false if there are too many.
     ///
-    /// At the limit, the least useful idle connection is evicted. Connections that are still closing may exceed
-    /// the limit by `MAX_CLOSING`.
+    /// At the limit, the least useful idle connection is evicted. Connections that are still closing may
+    /// exceed the limit by `MAX_CLOSING`.
     pub fn admit(&mut self, now: Duration, id: u64, writes: SharedWriteBuffer) -> bool {
         if self.open.len() >= self.limit {
             let idle = self.open.values_mut().filter(|c| c.is_idle());
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! The thin part between a state machine and a TCP socket.
+//! TCP connections with a buffered writer, and the timers of the fronts.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,16 +12,16 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::Notify;
 
-/// What a connection keeps allocated for its output while nothing waits.
+/// Capacity in bytes that an empty output buffer keeps.
 const RETAINED_CAPACITY: usize = 16 * 1024;
-/// Bytes taken in one read.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 8 * 1024;
-/// Reads of what has arrived by a connection's end, at most.
+/// Maximum number of times that a connection being closed is checked for bytes that have already arrived.
 const MAX_FINAL_READS: usize = 8;
-/// Connections waiting to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 512;
 
-/// The Unix clock, read once; it never steps back.
+/// Monotonic clock that shows Unix time. The system's clock is read only once, so later steps have no effect.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -29,20 +29,20 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Creates a clock set by the system's clock.
     pub fn new() -> Self {
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         Self { start: Instant::now(), unix: unix.unwrap_or_default() }
     }
 
-    /// Time since the Unix epoch.
+    /// Returns the time since the Unix epoch.
     pub fn now(&self) -> Duration {
         self.unix + self.start.elapsed()
     }
 
-    /// The instant at which the clock shows `at`.
-    pub fn instant_at(&self, at: Duration) -> tokio::time::Instant {
-        (self.start + at.saturating_sub(self.unix)).into()
+    /// Returns the instant at which the clock shows `time`.
+    pub fn instant_at(&self, time: Duration) -> tokio::time::Instant {
+        (self.start + time.saturating_sub(self.unix)).into()
     }
 }
 
@@ -52,37 +52,37 @@
     }
 }
 
-/// Why a connection is closed or has ended.
+/// Reason for which a connection is closed or has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CloseReason {
     /// The peer closed it.
     ClosedByPeer,
-    /// The socket reported an error, a reset among others.
+    /// The socket reported an error, such as a reset.
     SocketError,
-    /// The bytes on it are no message of the protocol.
+    /// The bytes received are not a message of the protocol.
     MalformedMessage,
-    /// Too many messages that can't be served.
+    /// The peer sent too many messages that can't be served.
     ProtocolErrors,
-    /// A message was begun and not completed in time.
+    /// A message was not completed in time.
     MessageTimeout,
-    /// No message came in time.
+    /// The first message did not arrive in time.
     Silent,
-    /// Nothing was open on it for long.
+    /// No request has been open for a long time.
     Idle,
     /// It made room for another connection.
     Evicted,
-    /// The peer let too many bytes wait.
+    /// The peer read too slowly, so that too many bytes were waiting to be sent.
     WriteBufferFull,
-    /// News that others were told did not arrive on it.
+    /// Group states arrived on other connections but not on this one.
     Stalled,
-    /// Its exchange has left the membership.
+    /// The exchange is no longer listed.
     Removed,
     /// The router stops.
     Shutdown,
 }
 
 impl CloseReason {
-    /// The word used in the log and in the metrics.
+    /// Returns the name used in the log and in the metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::ClosedByPeer => "closed_by_peer",
@@ -101,52 +101,55 @@
     }
 }
 
-/// What is to be written on a connection, and whether it is to be closed.
+/// Bytes to be written on a connection, and whether the connection is to be closed.
 #[derive(Debug)]
 pub struct WriteBuffer {
     limits: ConnectionLimits,
     budget: Rc<WriteBudget>,
     bytes: RefCell<Vec<u8>>,
-    /// Bytes queued and not yet handed to the socket.
-    waiting: Cell<usize>,
-    closing: Cell<Option<CloseReason>>,
-    /// Nothing more is written, queued or not.
-    finished: Cell<bool>,
-    wake: Notify,
+    /// Number of bytes queued and not yet written to the socket.
+    unsent: Cell<usize>,
+    close_reason: Cell<Option<CloseReason>>,
+    /// Whether further bytes are discarded, since nothing more is written.
+    is_finished: Cell<bool>,
+    /// Notified when bytes are queued or the connection is to be closed.
+    changed: Notify,
 }
 
-/// What a connection may hold and how patiently it ends.
+/// Limits on the unsent bytes of a connection and on the time that its close may take.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Bytes that may wait for the peer whatever the other connections hold.
-    pub fair_share: usize,
-    /// Bytes that may wait while the budget of all connections has room.
-    pub most: usize,
-    /// When it is closed, what is queued is written for so long at most.
+    /// Number of unsent bytes allowed in any case, even if the shared budget is exhausted.
+    pub guaranteed_unsent: usize,
+    /// Maximum number of unsent bytes, allowed only within the shared budget.
+    pub max_unsent: usize,
+    /// Maximum time for writing the queued bytes when the connection is closed.
     pub flush_timeout: Duration,
-    /// The peer's end is awaited for so long after that: unread bytes would turn the close into a reset, which
-    /// can destroy the last answers.
+    /// Time to wait after that for the peer to close its side. Unread bytes would turn the close into a
+    /// reset, which can destroy the last answers.
     pub linger: Duration,
 }
 
-/// ConnectionLimits of a client's connection.
+/// Limits of a client connection.
 pub const CLIENT_LIMITS: ConnectionLimits = ConnectionLimits {
-    fair_share: 48 * 1024,
-    most: 1024 * 1024,
+    guaranteed_unsent: 48 * 1024,
+    max_unsent: 1024 * 1024,
     flush_timeout: Duration::from_millis(500),
     linger: Duration::from_millis(100),
 };
-/// ConnectionLimits of a connection to an exchange or to the coordinator: its end is news, so it isn't waited for.
+/// Limits of a connection to an exchange or to the coordinator. Its close does not wait for the peer, since
+/// the router must learn of its end without delay.
 pub const SERVER_LIMITS: ConnectionLimits = ConnectionLimits {
-    fair_share: 256 * 1024,
-    most: 2 * 1024 * 1024,
+    guaranteed_unsent: 256 * 1024,
+    max_unsent: 2 * 1024 * 1024,
     flush_timeout: Duration::from_millis(20),
     linger: Duration::ZERO,
 };
-/// Bytes that may wait on all client connections together, and on all connections to servers.
+/// Maximum number of unsent bytes on all client connections together, and on all connections to exchanges and
+/// the coordinator together.
 pub const WRITE_BUDGET: usize = 16 * 1024 * 1024;
 
-/// Bytes that wait on all connections of a kind together.
+/// Number of unsent bytes shared by all connections of a kind.
 #[derive(Debug)]
 pub struct WriteBudget {
     total: usize,
@@ -154,62 +157,63 @@
 }
 
 impl WriteBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `total` bytes.
     pub fn new(total: usize) -> Rc<Self> {
         Rc::new(Self { total, used: Cell::new(0) })
     }
 }
 
 impl WriteBuffer {
-    /// An empty buffer within limits of its own and a budget that it shares.
+    /// Creates an empty buffer with its own limits and a shared budget.
     pub fn new(limits: ConnectionLimits, budget: Rc<WriteBudget>) -> Self {
         Self {
             limits,
             budget,
             bytes: RefCell::default(),
-            waiting: Cell::new(0),
-            closing: Cell::new(None),
-            finished: Cell::new(false),
-            wake: Notify::new(),
+            unsent: Cell::new(0),
+            close_reason: Cell::new(None),
+            is_finished: Cell::new(false),
+            changed: Notify::new(),
         }
     }
 
-    /// Queues bytes; a peer that lets too many wait is cut off. A connection that is closing still takes
-    /// what answers the requests read before its end.
+    /// Queues bytes. If too many bytes are unsent, the connection is aborted instead.
+    ///
+    /// A connection that is closing still accepts bytes, for the answers to requests that were read before.
     pub fn enqueue(&self, bytes: &[u8]) {
-        if self.finished.get() {
+        if self.is_finished.get() {
             return;
         }
-        let waiting = self.waiting.get() + bytes.len();
-        let is_over_share = waiting > self.limits.fair_share;
+        let unsent = self.unsent.get() + bytes.len();
+        let is_over_guarantee = unsent > self.limits.guaranteed_unsent;
         let is_over_budget = self.budget.used.get() + bytes.len() > self.budget.total;
-        if waiting > self.limits.most || (is_over_share && is_over_budget) {
+        if unsent > self.limits.max_unsent || (is_over_guarantee && is_over_budget) {
             return self.abort(CloseReason::WriteBufferFull);
         }
         self.account(bytes.len(), 0);
         self.bytes.borrow_mut().extend_from_slice(bytes);
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Closes the connection once what is queued has been written.
+    /// Closes the connection once the queued bytes have been written.
     pub fn close(&self, reason: CloseReason) {
         self.mark_closing(reason);
-        self.wake.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Ends the connection at once; what is queued is dropped.
+    /// Closes the connection at once and drops the queued bytes.
     fn abort(&self, reason: CloseReason) {
-        self.finished.set(true);
+        self.is_finished.set(true);
         self.account(0, self.bytes.take().len());
         self.close(reason);
     }
 
     fn account(&self, added: usize, removed: usize) {
-        self.waiting.set(self.waiting.get() + added - removed);
+        self.unsent.set(self.unsent.get() + added - removed);
         self.budget.used.set(self.budget.used.get() + added - removed);
     }
 
-    /// Why its connection has ended, from how the connection loop ended.
+    /// Returns why the connection has ended, given the result of [`run_connection`].
     pub fn end_reason(&self, ended: &io::Result<()>) -> CloseReason {
         match (self.close_reason(), ended) {
             (Some(reason), _) => reason,
@@ -219,31 +223,32 @@
     }
 
     fn mark_closing(&self, reason: CloseReason) {
-        self.closing.set(self.closing.get().or(Some(reason)));
+        self.close_reason.set(self.close_reason.get().or(Some(reason)));
     }
 
-    /// Why it is closing; the first reason given counts.
+    /// Returns why the connection is closing, if it is: the first reason that was given.
     pub fn close_reason(&self) -> Option<CloseReason> {
-        self.closing.get()
+        self.close_reason.get()
     }
 
-    /// Whether the connection goes on.
+    /// Returns whether the connection has not been closed.
     pub fn is_open(&self) -> bool {
-        self.closing.get().is_none()
+        self.close_reason.get().is_none()
     }
 }
 
 impl Drop for WriteBuffer {
     fn drop(&mut self) {
-        self.account(0, self.waiting.get());
+        self.account(0, self.unsent.get());
     }
 }
 
-/// Reads and writes until the peer closes, the socket fails, or the buffer is closed. Whatever has arrived by
-/// then is handed to `on_bytes` first, and what that queues is still written.
+/// Reads and writes until the peer closes, the socket fails, or the buffer is closed.
+///
+/// Bytes that have arrived by then are still passed to `on_bytes`, and the bytes that it queues are written.
 ///
 /// # Errors
-/// What the socket reports, a reset among others.
+/// Returns any error of the socket, such as a reset.
 pub async fn run_connection(
     stream: TcpStream,
     writes: &WriteBuffer,
@@ -251,21 +256,23 @@
 ) -> io::Result<()> {
     let (reader, writer) = stream.into_split();
     let mut connection =
-        Connection { reader, writer, writes, on_bytes, reading: true, output: Vec::new(), written: 0 };
+        Connection { reader, writer, writes, on_bytes, is_reading: true, output: Vec::new(), written: 0 };
     let ended = connection.run().await;
-    writes.finished.set(true);
+    writes.is_finished.set(true);
     ended
 }
 
-/// One connection and the bytes that it is writing.
+/// A connection in use, and the bytes being written on it.
 struct Connection<'a, F> {
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
     writes: &'a WriteBuffer,
     on_bytes: F,
-    /// Bytes are taken; once `on_bytes` breaks off, only what is queued is written until the buffer is closed.
-    reading: bool,
+    /// Whether bytes are read. Once `on_bytes` returns `Break`, queued bytes are still written until the
+    /// buffer is closed, but nothing more is read.
+    is_reading: bool,
     output: Vec<u8>,
+    /// Number of bytes of `output` already written.
     written: usize,
 }
 
@@ -275,27 +282,27 @@
         while self.writes.is_open() {
             self.take_queued();
             tokio::select! {
-                read = self.reader.read(&mut input), if self.reading => {
+                read = self.reader.read(&mut input), if self.is_reading => {
                     let n = read?;
                     if n == 0 {
-                        self.write_at_once();
+                        self.try_flush();
                         return Ok(());
                     }
-                    self.hand_over(&input[..n]);
+                    self.deliver(&input[..n]);
                 }
                 wrote = self.writer.write(&self.output[self.written..]), if self.has_output() => {
                     match wrote {
-                        Ok(n) => self.advance(n),
+                        Ok(n) => self.on_written(n),
                         Err(e) => {
-                            self.read_arrived(&mut input);
+                            self.read_available(&mut input);
                             return Err(e);
                         }
                     }
                 }
-                () = self.writes.wake.notified() => {}
+                () = self.writes.changed.notified() => {}
             }
         }
-        self.end(&mut input).await
+        self.finish(&mut input).await
     }
 
     fn has_output(&self) -> bool {
@@ -314,20 +321,21 @@
         std::mem::swap(&mut self.output, &mut self.writes.bytes.borrow_mut());
     }
 
-    fn advance(&mut self, n: usize) {
+    fn on_written(&mut self, n: usize) {
         self.written += n;
         self.writes.account(0, n);
     }
 
-    /// Writes what is queued, takes what has arrived, and closes. Bytes that arrive after that cross the end.
-    async fn end(&mut self, input: &mut [u8]) -> io::Result<()> {
+    /// Writes the queued bytes, reads the bytes that have arrived, and closes the connection. Bytes that
+    /// arrive later have crossed the close.
+    async fn finish(&mut self, input: &mut [u8]) -> io::Result<()> {
         let limits = self.writes.limits;
-        // A peer that reads nothing is not waited for.
-        match tokio::time::timeout(limits.flush_timeout, self.answer_arrived(input)).await {
+        // A peer that does not read must not delay the close.
+        match tokio::time::timeout(limits.flush_timeout, self.flush_and_read_available(input)).await {
             Ok(flushed) => flushed?,
             Err(_) => return Ok(()),
         }
-        self.writes.finished.set(true);
+        self.writes.is_finished.set(true);
         self.writer.shutdown().await?;
         if self.writes.close_reason() != Some(CloseReason::Evicted) {
             let _ = tokio::time::timeout(limits.linger, self.discard(input)).await;
@@ -335,27 +343,28 @@
         Ok(())
     }
 
-    async fn answer_arrived(&mut self, input: &mut [u8]) -> io::Result<()> {
+    async fn flush_and_read_available(&mut self, input: &mut [u8]) -> io::Result<()> {
         for _ in 0..MAX_FINAL_READS {
             self.flush().await?;
-            if !self.read_arrived(input) {
+            if !self.read_available(input) {
                 break;
             }
         }
         self.flush().await
     }
 
-    fn hand_over(&mut self, bytes: &[u8]) {
-        self.reading = (self.on_bytes)(bytes).is_continue();
+    fn deliver(&mut self, bytes: &[u8]) {
+        self.is_reading = (self.on_bytes)(bytes).is_continue();
     }
 
-    /// Writes what is queued as far as it goes without waiting: the peer may have closed one direction only.
-    fn write_at_once(&mut self) {
+    /// Writes the queued bytes as far as possible without waiting: the peer may have closed only its sending
+    /// side.
+    fn try_flush(&mut self) {
         self.take_queued();
         while let (true, Ok(n @ 1..)) =
             (self.has_output(), self.writer.try_write(&self.output[self.written..]))
         {
-            self.advance(n);
+            self.on_written(n);
             self.take_queued();
         }
     }
@@ -367,21 +376,21 @@
                 return Ok(());
             }
             let n = self.writer.write(&self.output[self.written..]).await?;
-            self.advance(n);
+            self.on_written(n);
         }
     }
 
-    /// Hands over what has arrived, without waiting; false if nothing has.
-    fn read_arrived(&mut self, input: &mut [u8]) -> bool {
-        let mut arrived = false;
-        while let (true, Ok(n @ 1..)) = (self.reading, self.reader.try_read(input)) {
-            arrived = true;
-            self.hand_over(&input[..n]);
+    /// Delivers the bytes that have arrived, without waiting. Returns false if there are none.
+    fn read_available(&mut self, input: &mut [u8]) -> bool {
+        let mut has_read = false;
+        while let (true, Ok(n @ 1..)) = (self.is_reading, self.reader.try_read(input)) {
+            has_read = true;
+            self.deliver(&input[..n]);
             if n < input.len() {
                 break;
             }
         }
-        arrived
+        has_read
     }
 
     async fn discard(&mut self, input: &mut [u8]) {
@@ -389,28 +398,28 @@
     }
 }
 
-/// Connects within a time.
+/// Connects to an address within the given time.
 ///
 /// # Errors
-/// `TimedOut` when the time is over, or what the socket reports.
-pub async fn connect(to: SocketAddr, within: Duration) -> io::Result<TcpStream> {
-    let stream = tokio::time::timeout(within, TcpStream::connect(to)).await??;
+/// Returns `TimedOut` if the time has passed, or the error of the socket.
+pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Listens at an address, also right after an earlier life of the program used it.
+/// Listens at an address, even if an earlier process used it a moment ago.
 ///
 /// # Errors
-/// What the socket reports.
-pub fn listen(at: SocketAddr) -> io::Result<tokio::net::TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+/// Returns any error of the socket.
+pub fn listen(address: SocketAddr) -> io::Result<tokio::net::TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// A shared writes.
+/// Write buffer shared between the connection's task and its front.
 pub type SharedWriteBuffer = Rc<WriteBuffer>;
 
 /// A front with work that is due at certain times.
