--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,4 +1,4 @@
-//! The tasks of the platform's front: each reads and writes on one socket, and knows no more than that.
+//! Tasks of the call front. Each reads and writes on one socket and leaves all decisions to the front.
 
 use std::cell::Cell;
 use std::io;
@@ -18,13 +18,14 @@
 use crate::interface::ExchangeId;
 use crate::protocol::{coordinator, jsonl, sip};
 
-/// No word from the coordinator for so long, though a frame follows each second: it is connected anew.
+/// Time without a frame from the coordinator after which the router connects to it again. The coordinator
+/// sends a frame every second.
 const COORDINATOR_SILENCE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Two connects to it are so far apart at least.
+/// Minimum time between two connects to the coordinator.
 const MIN_COORDINATOR_CONNECT_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a failed accept, as when no descriptor is left.
+/// Pause after a failed accept, for instance because no descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// How often pools are looked after.
+/// Interval of the front's periodic checks.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Opens a connection to an exchange, and reads and writes on it until it ends.
@@ -33,9 +34,9 @@
     exchange: ExchangeId,
     id: ConnectionId,
     address: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) {
-    match connection::connect(address, within).await {
+    match connection::connect(address, timeout).await {
         Ok(stream) => {
             let writes: SharedWriteBuffer = platform.borrow().server_buffer();
             platform.borrow_mut().on_exchange_connected(&exchange, id, writes.clone());
@@ -67,13 +68,13 @@
     }
 }
 
-/// Does what is due, when it is due, and looks after the pools.
+/// Runs the timers and the periodic checks of the front.
 pub async fn run_timers(platform: Handle) {
     let (clock, due) = (platform.borrow().clock, platform.borrow().timers_changed.clone());
     connection::run_timers(platform, clock, due, SWEEP_INTERVAL).await;
 }
 
-/// Accepts client connections until `stop`, then once more those that wait already.
+/// Accepts client connections until `stop` is notified, then those that are already waiting.
 pub async fn accept_clients(platform: Handle, listener: TcpListener, stop: Rc<Notify>) {
     loop {
         let accepted = tokio::select! {
@@ -87,7 +88,7 @@
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
-        // In a rush of connections, those that make room are closed before the next is accepted.
+        // Lets evicted connections close before the next one is accepted, if many arrive at once.
         tokio::task::yield_now().await;
     }
     while let Ok(Ok((stream, _))) = tokio::time::timeout(Duration::ZERO, listener.accept()).await {
@@ -98,7 +99,7 @@
 /// Admits a client connection, and starts the task that reads and writes on it until it ends.
 fn serve_client(platform: &Handle, stream: TcpStream) {
     if stream.set_nodelay(true).is_err() {
-        return; // the client has reset it already
+        return; // the client has reset the connection already
     }
     let writes = platform.borrow().client_buffer();
     let Some(client) = platform.borrow_mut().on_client_connected(writes.clone()) else {
@@ -133,27 +134,27 @@
     platform.borrow_mut().on_client_disconnected(client, reason, &ended);
 }
 
-/// Follows the coordinator: connects anew when it breaks off, falls silent or is changed by a reload, each
-/// time from the last event held.
+/// Receives the exchange list from the coordinator. Connects again, asking for the events after the last one
+/// received, whenever the connection ends, falls silent or a reload has changed the coordinator.
 pub async fn follow_coordinator(platform: Handle) {
-    let (log, within) = (platform.borrow().log.clone(), platform.borrow().connect_timeout);
-    let moved = platform.borrow().coordinator_changed.clone();
+    let (log, timeout) = (platform.borrow().log.clone(), platform.borrow().connect_timeout);
+    let changed = platform.borrow().coordinator_changed.clone();
     loop {
-        let Some(at) = platform.borrow().coordinator else {
-            moved.notified().await;
+        let Some(address) = platform.borrow().coordinator else {
+            changed.notified().await;
             continue;
         };
-        let (begun, heard) = (Instant::now(), Cell::new(Instant::now()));
-        let listen = async {
-            let stream = connection::connect(at, within).await?;
+        let (connect_started_at, last_received_at) = (Instant::now(), Cell::new(Instant::now()));
+        let session = async {
+            let stream = connection::connect(address, timeout).await?;
             let writes = platform.borrow().server_buffer();
             let last_event = platform.borrow().last_event;
             writes.enqueue(&coordinator::hello(last_event));
-            info!(log, "coordinator connected"; "at" => %at, "last_event" => last_event);
+            info!(log, "coordinator connected"; "address" => %address, "last_event" => last_event);
             let mut decoder = coordinator::Decoder::default();
-            heard.set(Instant::now());
-            let pump = connection::run_connection(stream, &writes, |bytes| {
-                heard.set(Instant::now());
+            last_received_at.set(Instant::now());
+            let transfer = connection::run_connection(stream, &writes, |bytes| {
+                last_received_at.set(Instant::now());
                 decoder.feed(bytes);
                 loop {
                     match decoder.take() {
@@ -166,38 +167,39 @@
                     }
                 }
             });
-            // Guards against a coordinator that stops but keeps its connection open.
-            let watch = async {
-                while heard.get().elapsed() < COORDINATOR_SILENCE_TIMEOUT {
-                    tokio::time::sleep_until(heard.get() + COORDINATOR_SILENCE_TIMEOUT).await;
+            // A coordinator that hangs may keep its connection open.
+            let silence_timeout = async {
+                while last_received_at.get().elapsed() < COORDINATOR_SILENCE_TIMEOUT {
+                    tokio::time::sleep_until(last_received_at.get() + COORDINATOR_SILENCE_TIMEOUT).await;
                 }
                 Err(io::ErrorKind::TimedOut.into())
             };
             tokio::select! {
-                ended = pump => ended,
-                silent = watch => silent,
+                ended = transfer => ended,
+                timed_out = silence_timeout => timed_out,
             }
         };
         tokio::select! {
-            ended = listen => {
+            ended = session => {
                 let reason = coordinator_close_reason(&ended);
-                info!(log, "coordinator disconnected"; "at" => %at, "reason" => reason, "end" => ?ended);
+                info!(log, "coordinator disconnected"; "address" => %address, "reason" => reason,
+                    "end" => ?ended);
                 platform.borrow().metrics.count_discovery_close(reason);
             }
-            () = moved.notified() => {
-                info!(log, "coordinator changed"; "from" => %at);
+            () = changed.notified() => {
+                info!(log, "coordinator changed"; "from" => %address);
                 continue;
             }
         }
-        // Asked again at once, but not in a spin if nobody is there.
+        // Reconnects at once, but not in a busy loop if nothing listens there.
         tokio::select! {
-            () = tokio::time::sleep_until(begun + MIN_COORDINATOR_CONNECT_INTERVAL) => {}
-            () = moved.notified() => {}
+            () = tokio::time::sleep_until(connect_started_at + MIN_COORDINATOR_CONNECT_INTERVAL) => {}
+            () = changed.notified() => {}
         }
     }
 }
 
-/// Why a connection to the coordinator has ended.
+/// Returns why a connection to the coordinator has ended, as used in the log and in the metrics.
 fn coordinator_close_reason(ended: &io::Result<()>) -> &'static str {
     match ended {
         Ok(()) => "closed_by_peer",
@@ -207,7 +209,7 @@
     }
 }
 
-/// Takes datagrams of other routers.
+/// Receives the datagrams of other routers.
 pub async fn receive_peer_datagrams(platform: Handle, socket: Rc<UdpSocket>) {
     platform.borrow_mut().set_peer_socket(socket.clone());
     let mut buffer = [0; 2 * MAX_DATAGRAM_SIZE];
