--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -52,7 +52,7 @@
     let platform = Platform::new(&config, log.clone(), clock)?;
     tokio::task::spawn_local(sockets::run_timers(platform.clone()));
     tokio::task::spawn_local(sockets::follow_coordinator(platform.clone()));
-    if let Some(at) = config.peer_listen.filter(|_| config.settings.limits.peers) {
+    if let Some(at) = config.peer_listen.filter(|_| config.settings.limits.peer_messages_allowed) {
         let socket = bind("peer_listen", at).await?;
         tokio::task::spawn_local(sockets::receive_peer_datagrams(platform.clone(), Rc::new(socket)));
     }
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::connection::{CloseReason, SharedWriteBuffer};
-use crate::interface::{CallId, Status};
+use crate::interface::{AttemptStatus, CallId};
 
 /// Maximum number of connections to one exchange (the protocol's limit).
 const MAX_CONNECTIONS: usize = 4;
@@ -393,11 +393,11 @@
     }
 
     /// Returns the outcome of a set-up whose connection ended or never came up.
-    pub fn status_after_loss(may_have_run: bool) -> Status {
+    pub fn status_after_loss(may_have_run: bool) -> AttemptStatus {
         if may_have_run {
-            Status::Reset
+            AttemptStatus::Reset
         } else {
-            Status::Unreachable
+            AttemptStatus::Unreachable
         }
     }
 }
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -172,40 +172,40 @@
 }
 
 /// Returns the status of an attempt, or of a standing call, that its exchange has released.
-fn release_status(cause: Option<u32>, was_standing: bool) -> Status {
+fn release_status(cause: Option<u32>, was_standing: bool) -> AttemptStatus {
     match (cause, was_standing) {
-        (Some(41), _) => Status::Reset,
-        (_, true) => Status::Ended,
-        (Some(34), false) => Status::Full,
-        (Some(102), false) => Status::Moot,
+        (Some(41), _) => AttemptStatus::Reset,
+        (_, true) => AttemptStatus::Ended,
+        (Some(34), false) => AttemptStatus::Full,
+        (Some(102), false) => AttemptStatus::Moot,
         // The call stood at the exchange and ended normally, and its answer was lost: it must not be set up
         // again. (A call that the router has given up is closed at once, so its release does not get here.)
-        (Some(16), false) => Status::Ended,
-        _ => Status::Error,
+        (Some(16), false) => AttemptStatus::Ended,
+        _ => AttemptStatus::Error,
     }
 }
 
-fn failure_cause(note: &str) -> Option<Cause> {
+fn failure_cause(note: &str) -> Option<FailureCause> {
     Some(match note {
-        "group_full" => Cause::NoCircuit,
-        "tandem_refused" => Cause::TurnedBack,
-        "destination_full" => Cause::TurnedBackFull,
-        "processor_full" => Cause::ProcessorFull(None),
-        "user_busy" => Cause::LinesBusy,
+        "group_full" => FailureCause::NoCircuit,
+        "tandem_refused" => FailureCause::CrankedBack,
+        "destination_full" => FailureCause::DestinationFull,
+        "processor_full" => FailureCause::ProcessorFull(None),
+        "user_busy" => FailureCause::UserBusy,
         _ => return None,
     })
 }
 
 /// Returns the value of the label `outcome` in the metrics.
-fn outcome_label(status: Status) -> &'static str {
+fn outcome_label(status: AttemptStatus) -> &'static str {
     match status {
-        Status::Ended => "ended",
-        Status::Error => "error",
-        Status::Full => "full",
-        Status::TimedOut => "timed_out",
-        Status::Unreachable => "unreachable",
-        Status::Reset => "reset",
-        Status::Cancelled => "cancelled",
-        Status::Moot => "moot",
+        AttemptStatus::Ended => "ended",
+        AttemptStatus::Error => "error",
+        AttemptStatus::Full => "full",
+        AttemptStatus::TimedOut => "timed_out",
+        AttemptStatus::Unreachable => "unreachable",
+        AttemptStatus::Reset => "reset",
+        AttemptStatus::Cancelled => "cancelled",
+        AttemptStatus::Moot => "moot",
     }
 }
