--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -13,14 +13,14 @@
 /// Number of connections kept open to a listed exchange.
 ///
 /// If a single connection stopped delivering, all set-ups on it would be lost with it. A second connection
-/// that still receives messages shows the fault early enough to repeat those set-ups within their aim; new
-/// set-ups use the connection that received a message last.
+/// that still receives messages shows the fault early enough to repeat those set-ups within their target
+/// delay; new set-ups use the connection that received a message last.
 const MIN_IDLE_CONNECTIONS: usize = 2;
 /// Pause before the next connect after the first failed one; it doubles with each further failure.
 const INITIAL_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
 /// Longest pause between two connects.
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(800);
-/// If an exchange with standing calls has sent nothing for this long, another connection is opened: the
+/// If an exchange with established calls has sent nothing for this long, another connection is opened: the
 /// exchange delivers releases that were lost with an old connection on the next one opened.
 const IDLE_THRESHOLD: Duration = Duration::from_millis(1500);
 /// A line that is not complete within this time was cut short: exchanges write each line in one piece.
@@ -37,9 +37,9 @@
 const REMOVED_LINGER: Duration = Duration::from_secs(10);
 /// Time without a message after which the calls of an unreachable exchange are released.
 ///
-/// A release is due 8 s after the end of its call, even if the exchange could not send it. Any call that
-/// stood when the exchange was last heard may have ended since, so all of them are released; those that still
-/// stand are cut off.
+/// A release is due 8 s after the end of its call, even if the exchange could not send it. Any call that was
+/// established when the exchange was last heard may have ended since, so all of them are released; those that
+/// are still established are cut off.
 const OUT_OF_REACH_TIMEOUT: Duration = Duration::from_millis(7400);
 /// Maximum number of releases that wait for a connection.
 const MAX_QUEUED_RELEASES: usize = 4096;
@@ -213,7 +213,7 @@
         }
         connection.silent_since = (!connection.open_set_ups.is_empty()).then_some(now);
         connection.is_retired = false;
-        // The other connections get no more set-ups but stay open: a standing call is released on the
+        // The other connections get no more set-ups but stay open: an established call is released on the
         // connection of its set-up, and a release that crossed a close would wait for the next connection
         // opened.
         self.connections
@@ -350,7 +350,7 @@
         (self.next_connect_at, self.connect_backoff) = (now, INITIAL_CONNECT_BACKOFF);
     }
 
-    /// Returns whether nothing has been received for a while. If calls stand at the exchange, the caller then
+    /// Returns whether nothing has been received for a while. If calls are established there, the caller then
     /// opens another connection to find out why.
     pub fn is_idle(&self, now: Duration) -> bool {
         now >= self.last_received_at + IDLE_THRESHOLD
@@ -373,8 +373,8 @@
         self.connections.len() < MAX_CONNECTIONS
     }
 
-    /// Returns whether a connect should be made now. `is_idle_with_calls` tells that calls stand at the
-    /// exchange and nothing has been received from it for a while.
+    /// Returns whether a connect should be made now. `is_idle_with_calls` tells that calls are established at
+    /// the exchange and nothing has been received from it for a while.
     pub fn should_connect(&self, now: Duration, is_idle_with_calls: bool) -> bool {
         // After a machine has vanished and come back, its old connections stay open and silent.
         let is_silent =
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -27,7 +27,7 @@
             }
             "BYE" => {
                 // The release is passed on even for an unknown call: after a restart the router does not know
-                // which calls stand.
+                // which calls are established.
                 let known = self.core.calls.open.contains_key(&id) || self.core.calls.is_over(&id);
                 let status = if known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -30,15 +30,15 @@
                 self.core.reply(now, exchange, &id, Reply::Stands(description));
             }
             "FINISH" => {
-                let was_standing = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
-                let status = release_status(line.cause, was_standing);
+                let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
+                let status = release_status(line.cause, was_established);
                 let cause = line.note.as_deref().and_then(failure_cause);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0,
                     "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?line.cause,
                     "note" => line.note.as_deref().unwrap_or(""));
                 self.metrics.count_outcome(outcome_label(status));
                 self.core.reply(now, exchange, &id, Reply::Ended { status, cause, report });
-                if was_standing {
+                if was_established {
                     self.send_to_exchange(exchange, connection, &jsonl::plain("FINISHED", &id.0, None));
                 }
             }
@@ -143,7 +143,7 @@
         self.metrics.count_exchange_close(reason.as_str());
         let Some(pool) = self.pools.get_mut(exchange) else { return };
         for id in pool.on_closed(now, id) {
-            // The set-up may have succeeded with its answer corrupted or cut off. Any call that stands there
+            // The set-up may have succeeded with its answer corrupted or cut off. Any call established there
             // is released before the next attempt, so that it does not hold circuits that nobody uses.
             let exchange_id = Some(exchange.clone());
             self.carry_out(Effect::Finish { exchange: exchange_id, call: id.clone(), cause: CLEARED });
@@ -171,15 +171,16 @@
     }
 }
 
-/// Returns the status of an attempt, or of a standing call, that its exchange has released.
-fn release_status(cause: Option<u32>, was_standing: bool) -> AttemptStatus {
-    match (cause, was_standing) {
+/// Returns the status of an attempt, or of an established call, that its exchange has released.
+fn release_status(cause: Option<u32>, was_established: bool) -> AttemptStatus {
+    match (cause, was_established) {
         (Some(41), _) => AttemptStatus::Reset,
         (_, true) => AttemptStatus::Ended,
         (Some(34), false) => AttemptStatus::Full,
         (Some(102), false) => AttemptStatus::Moot,
-        // The call stood at the exchange and ended normally, and its answer was lost: it must not be set up
-        // again. (A call that the router has given up is closed at once, so its release does not get here.)
+        // The call was established at the exchange and ended normally, and its answer was lost: it must not
+        // be set up again. (A call that the router has given up is closed at once, so its release does not
+        // get here.)
         (Some(16), false) => AttemptStatus::Ended,
         _ => AttemptStatus::Error,
     }
