--- a/tests/exchange_pool.rs
+++ b/tests/exchange_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one exchange, fed by hand.
+//! Tests of the connection pool of one exchange, without sockets.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
     Duration::from_millis(n)
 }
 
-fn up() -> ExchangePool {
+fn connected_pool() -> ExchangePool {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.on_connected(
         ms(1000),
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn an_exchange_that_neither_speaks_nor_connects_is_out_of_reach_in_time_for_its_releases() {
-    let mut pool = up();
+fn a_silent_and_unreachable_exchange_is_out_of_reach_before_its_releases_are_due() {
+    let mut pool = connected_pool();
     pool.on_line(ms(2000), ConnectionId(1), None);
     assert!(!pool.is_idle(ms(3400)) && pool.is_idle(ms(3500)) && pool.should_connect(ms(5000), true));
-    assert!(!pool.is_out_of_reach(ms(20_000)), "silence alone may be an idle night");
+    assert!(!pool.is_out_of_reach(ms(20_000)), "a silent exchange may merely have no traffic");
     pool.on_connect_failed(ms(5500), ConnectFailure::Unreachable);
     assert!(!pool.is_out_of_reach(ms(9000)) && pool.is_out_of_reach(ms(9500)));
     pool.on_line(ms(9600), ConnectionId(1), None);
@@ -34,19 +34,19 @@
 }
 
 #[test]
-fn only_a_refusal_after_a_loss_proves_that_a_process_died() {
-    let mut pool = up();
+fn only_a_refused_connect_after_all_connections_ended_proves_that_the_process_ended() {
+    let mut pool = connected_pool();
     assert!(!pool.on_connect_failed(ms(1100), ConnectFailure::Refused).1);
     pool.on_closed(ms(1200), ConnectionId(1));
     assert!(!pool.on_connect_failed(ms(1300), ConnectFailure::Unreachable).1);
     assert!(pool.on_connect_failed(ms(1400), ConnectFailure::Refused).1);
-    assert!(!pool.on_connect_failed(ms(1500), ConnectFailure::Refused).1, "told once");
+    assert!(!pool.on_connect_failed(ms(1500), ConnectFailure::Refused).1, "reported once only");
 }
 
-/// Guards against what waits for an exchange that has gone, and against connects to its address, which
-/// another may have by now.
+/// Guards against releases that wait for ever for a removed exchange, and against connects to its address,
+/// which may belong to another exchange by now.
 #[test]
-fn nothing_is_kept_for_an_exchange_that_is_no_longer_listed() {
+fn an_exchange_that_is_no_longer_listed_keeps_no_releases_and_gets_no_connects() {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.finish(ms(1000), &CallId("a".into()), vec![1]);
     assert!(pool.should_connect(ms(2000), false) && !pool.is_removable());
@@ -55,38 +55,39 @@
     assert!(!pool.should_connect(ms(3000), true) && pool.is_removable());
 }
 
-/// Guards against a connection on which nothing comes any more while its exchange lives: what it still tells
-/// there is lost. One that is merely idle stays open, for the releases of the calls set up on it.
+/// Guards against a connection on which nothing arrives any more although its exchange is alive: messages
+/// sent there are lost. A connection that is merely idle stays open, for the releases of the calls set up on
+/// it.
 #[test]
-fn a_connection_that_goes_without_what_others_are_told_is_closed() {
-    let mut pool = up();
-    let outboxes = [
+fn a_connection_without_the_group_states_that_others_receive_is_closed() {
+    let mut pool = connected_pool();
+    let buffers = [
         Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
         Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000))),
     ];
-    pool.on_connected(ms(1500), ConnectionId(2), outboxes[0].clone());
-    pool.on_connected(ms(1500), ConnectionId(3), outboxes[1].clone());
-    let tell = |pool: &mut ExchangePool, at, id| {
+    pool.on_connected(ms(1500), ConnectionId(2), buffers[0].clone());
+    pool.on_connected(ms(1500), ConnectionId(3), buffers[1].clone());
+    let receive_group_state = |pool: &mut ExchangePool, at, id| {
         pool.on_line(at, ConnectionId(id), None);
         pool.on_group_state(at, ConnectionId(id));
     };
-    tell(&mut pool, ms(1510), 2); // the first of each connection is news to nobody else
-    tell(&mut pool, ms(1510), 3);
+    receive_group_state(&mut pool, ms(1510), 2); // the first one on a connection is sent on that one only
+    receive_group_state(&mut pool, ms(1510), 3);
     pool.sweep(ms(2500));
-    assert!(outboxes.iter().all(|o| o.is_open()), "idle is not deaf");
-    tell(&mut pool, ms(3000), 3);
-    tell(&mut pool, ms(3200), 3);
+    assert!(buffers.iter().all(|b| b.is_open()), "an idle connection has not stalled");
+    receive_group_state(&mut pool, ms(3000), 3);
+    receive_group_state(&mut pool, ms(3200), 3);
     pool.sweep(ms(3050));
-    assert!(outboxes[0].is_open(), "news may be on its way");
+    assert!(buffers[0].is_open(), "the group state may still arrive");
     pool.sweep(ms(3100));
-    assert!(!outboxes[0].is_open() && outboxes[1].is_open());
+    assert!(!buffers[0].is_open() && buffers[1].is_open());
 }
 
-/// Guards against releases that were written to a connection after its end: they come on the next one
-/// opened, which must not be opened before its exchange has noticed.
+/// Guards against the loss of releases that an exchange writes to a connection after its end: they arrive on
+/// the next connection opened, which must not be opened before the exchange has noticed that end.
 #[test]
-fn after_the_end_of_a_connection_another_is_opened_for_what_was_lost_on_it() {
-    let mut pool = up();
+fn after_a_connection_ends_another_is_opened_for_the_releases_lost_on_it() {
+    let mut pool = connected_pool();
     pool.on_connected(
         ms(1000),
         ConnectionId(2),
@@ -116,10 +117,10 @@
     Rc::new(WriteBuffer::new(SERVER_LIMITS, WriteBudget::new(1000)))
 }
 
-/// Connections to an exchange that had been removed counted against the four of the one that took its
-/// address.
+/// Guards against connections to a removed exchange that count towards the limit of four of the exchange that
+/// has taken over its address.
 #[test]
-fn connections_to_a_removed_exchange_end_once_no_set_up_is_open_or_its_address_is_taken() {
+fn connections_to_a_removed_exchange_end_without_open_set_ups_or_when_its_address_is_reassigned() {
     let (idle, busy, late) = (buffer(), buffer(), buffer());
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.on_connected(ms(1000), ConnectionId(1), idle.clone());
@@ -129,18 +130,19 @@
     pool.sweep(ms(1150));
     assert!(!idle.is_open() && busy.is_open(), "the open set-up is awaited");
     pool.on_connected(ms(1200), ConnectionId(3), late.clone());
-    assert!(!late.is_open(), "a connect that was under way");
+    assert!(!late.is_open(), "connected after the exchange was removed");
     pool.on_address_reassigned();
     assert!(!busy.is_open());
 }
 
-/// A connection whose news came in pieces was taken for stalled, and its set-ups were reset.
+/// Guards against a connection being taken for stalled, and its set-ups reset, while a group state arrives on
+/// it in several reads.
 #[test]
-fn a_connection_on_which_news_arrives_in_pieces_is_not_stalled() {
-    let (whole, pieces) = (buffer(), buffer());
+fn a_connection_that_receives_a_group_state_in_pieces_has_not_stalled() {
+    let (complete, partial) = (buffer(), buffer());
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
-    pool.on_connected(ms(1000), ConnectionId(1), whole);
-    pool.on_connected(ms(1000), ConnectionId(2), pieces.clone());
+    pool.on_connected(ms(1000), ConnectionId(1), complete);
+    pool.on_connected(ms(1000), ConnectionId(2), partial.clone());
     for at in [1010, 2000] {
         pool.on_line(ms(at), ConnectionId(1), None);
         pool.on_group_state(ms(at), ConnectionId(1));
@@ -149,12 +151,13 @@
         pool.on_read(ms(at), ConnectionId(2), true);
         pool.sweep(ms(at + 20));
     }
-    assert!(pieces.is_open());
+    assert!(partial.is_open());
 }
 
-/// Set-ups that waited for a connection went out when it came up, long after their exchange's drain was told.
+/// Guards against queued set-ups that are sent when a connection comes up long after the drain of their
+/// exchange was announced.
 #[test]
-fn set_ups_that_wait_for_a_connection_are_taken_back_and_releases_stay() {
+fn taking_back_queued_set_ups_leaves_queued_releases() {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.start(ms(1000), &CallId("a".into()), b"set-up".to_vec());
     pool.finish(ms(1000), &CallId("b".into()), b"release".to_vec());
--- a/tests/lost_requests.rs
+++ b/tests/lost_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that a client connection has taken are answered before that connection ends.
+//! Tests that requests received on a client connection are answered before that connection ends.
 
 mod harness;
 
@@ -11,10 +11,10 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Final answers by call, until the connection ends or nothing more comes.
-fn final_answers(client: &mut Client, quiet: Duration) -> BTreeMap<String, Vec<String>> {
+/// Returns the final answers by call, up to the end of the connection or a pause of `idle_timeout`.
+fn final_answers(client: &mut Client, idle_timeout: Duration) -> BTreeMap<String, Vec<String>> {
     let mut answers: BTreeMap<String, Vec<String>> = BTreeMap::new();
-    while let Some(message) = client.receive_within(quiet) {
+    while let Some(message) = client.receive_within(idle_timeout) {
         if let Some(call) = message.head.lines().find_map(|l| l.strip_prefix("Call-ID: ")) {
             answers.entry(call.to_owned()).or_default().push(message.first_line);
         }
@@ -22,8 +22,8 @@
     answers
 }
 
-/// A call that stands, and the router's connection to its exchange.
-fn one_standing(call: &str) -> (Exchange, Router, Client, TcpStream) {
+/// Establishes a call. Returns the router's connection to its exchange as the last item.
+fn establish_call(call: &str) -> (Exchange, Router, Client, TcpStream) {
     let exchange = Exchange::start();
     let router = Router::start(&router_config(&[exchange.address]));
     let mut client = router.connect_client();
@@ -35,23 +35,24 @@
     (exchange, router, client, stream)
 }
 
-/// Incident 93b949: after a restart, set-ups for an exchange that is being replaced closed their client's
-/// connection, and the requests of other calls that were open on it ended without an answer.
+/// Guards against the fault of incident 93b949: after a restart, set-ups for an exchange that was being
+/// replaced made the router close their client's connection, and other open requests on it ended without an
+/// answer.
 #[test]
-fn set_ups_for_a_removed_exchange_after_a_restart_do_not_end_other_requests_on_the_connection() {
+fn set_ups_for_a_removed_exchange_after_a_restart_leave_other_requests_on_the_connection_open() {
     let (first, second) = (Exchange::start(), Exchange::start());
     let (listener, address) = bind_coordinator();
     let mut settings = router_config(&[first.address, second.address]);
     settings["coordinator"] = address;
-    let mut before = Router::start(&settings);
-    before.connect_client().wait_until_ready();
+    let mut first_router = Router::start(&settings);
+    first_router.connect_client().wait_until_ready();
     let (mut events, _) = accept_coordinator_connection(&listener);
     let mut removed = coordinator_frame(2, 2, 2, second.address);
-    removed[4 + 9 + 14] = 2; // the record's place
+    removed[4 + 9 + 14] = 2; // low byte of the record's node number
     events.write_all(&removed).unwrap();
-    before.wait_for_log("health: Gone");
-    before.signal("-TERM");
-    assert!(before.child.wait().unwrap().success());
+    first_router.wait_for_log("health: Gone");
+    first_router.signal("-TERM");
+    assert!(first_router.child.wait().unwrap().success());
 
     settings["known"]["updates"][0]["endpoints"]["hosts"].as_array_mut().unwrap().remove(1);
     settings["known"]["index"] = json!(2);
@@ -77,8 +78,8 @@
     assert!(sent.elapsed() < Duration::from_secs(4));
 }
 
-/// Answers that exchanges give in one moment were dropped, and their connection closed, when together they
-/// were longer than what may wait for a client that does not read.
+/// Guards against a burst of answers being taken for a client that does not read: the connection was closed
+/// and the answers were dropped when together they exceeded its write buffer.
 #[test]
 fn answers_that_come_in_one_burst_all_reach_their_client() {
     const BURST: usize = 8;
@@ -89,7 +90,8 @@
     for call in 0..BURST {
         client.send_invite(&format!("{:016x}", 0xb00 + call), 1, 3000);
     }
-    // The window toward the exchange opens with its answers, so those that are out are answered first.
+    // The router's window for the exchange opens with each answer, so the attempts sent so far are answered
+    // before further ones arrive.
     let mut answered = 0;
     let description = "d".repeat(15_000);
     while answered < BURST {
@@ -110,12 +112,15 @@
     assert!(answers.values().flatten().all(|first| first.contains(" 200 ")), "{answers:?}");
 }
 
-/// A connection that is closed for what came on it later dropped the requests that it had taken before.
+/// Guards against the loss of requests on a connection that is closed because of a bad message after them.
 #[rstest]
 #[case::malformed("no SIP at all\r\n\r\n", " 400 ")]
 #[case::too_long("INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nContent-Length: 99999999\r\n\r\n", " 513 ")]
 #[case::never_completed("INVITE sip:1@net SIP/2.0\r\nCall-", " 408 ")]
-#[case::too_many_errors(&"PUBLISH sip:1@net SIP/2.0\r\nCall-ID: 1\r\nContent-Length: 0\r\n\r\n".repeat(9), " 501 ")]
+#[case::too_many_errors(
+    &"PUBLISH sip:1@net SIP/2.0\r\nCall-ID: 1\r\nContent-Length: 0\r\n\r\n".repeat(9),
+    " 501 "
+)]
 fn a_connection_with_bad_messages_is_closed_after_its_open_requests_are_answered(
     #[case] bad: &str,
     #[case] refusal: &str,
@@ -137,16 +142,16 @@
     assert!(matches!(client.0.fill_buf(), Ok([])), "the connection is still open");
 }
 
-/// A stopping router waited for its longest deadline as if none were under 3 s or over it, and was killed with
-/// requests that it had taken and not answered.
+/// Guards against a stopping router that is killed with unanswered requests, because its shutdown schedule
+/// took the longest deadline for 3 s.
 #[rstest]
 #[case::deadline_under_a_second(400, 1100)]
 #[case::deadline_of_nine_seconds(9000, 3700)]
-fn a_stopping_router_answers_what_it_has_taken_before_it_can_be_killed(
+fn a_stopping_router_answers_its_open_requests_before_it_can_be_killed(
     #[case] deadline_ms: u64,
     #[case] kill_after_ms: u64,
 ) {
-    let exchange = Exchange::start(); // it never answers
+    let exchange = Exchange::start(); // never answers
     let mut settings = router_config(&[exchange.address]);
     settings["settings"]["Classes"][0]["DeadlineNs"] = json!(deadline_ms * 1_000_000);
     let mut router = Router::start(&settings);
@@ -158,7 +163,7 @@
     let answers = std::thread::spawn(move || (final_answers(&mut busy, WAIT_TIMEOUT), Instant::now()));
     let killed_at = Instant::now() + Duration::from_millis(kill_after_ms);
     router.signal("-TERM");
-    // One client goes on sending on its open connection until the kill, or until it sees the connection end.
+    // This client sends on its open connection until the kill, or until the connection has ended.
     let mut sent = Vec::new();
     for call in 0.. {
         let id = format!("{:016x}", 0xd01 + call);
@@ -177,7 +182,7 @@
     let (answers, closed_at) = answers.join().unwrap();
     let first = client.receive();
     assert!(first.first_line.contains(" 503 ") && first.has_header_line("X-Hold-Off: 2000"), "{first:?}");
-    // What is written within 50 ms of the close has crossed it.
+    // Requests written less than 50 ms before the close have crossed it.
     let crossed = closed_at - Duration::from_millis(50);
     let lost = |(id, at): &&(String, Instant)| *at < crossed && answers.get(id).map(Vec::len) != Some(1);
     let lost: Vec<_> = sent.iter().filter(lost).collect();
@@ -185,11 +190,12 @@
     assert!(closed_at < killed_at, "closed by the kill only");
 }
 
-/// A stopping router took a release while the only client left had never sent a whole message; nobody was told
-/// that the call was over, and its exchange held it for told.
+/// Guards against a stopping router that confirms a release while the only client left has never sent a
+/// complete message: no client learned that the call had ended, and the exchange did not send the release
+/// again.
 #[test]
-fn a_stopping_router_takes_no_release_that_it_can_tell_no_client() {
-    let (exchange, router, mut client, stream) = one_standing("0000000000000e00");
+fn a_stopping_router_confirms_no_release_that_it_can_send_to_no_client() {
+    let (exchange, router, mut client, stream) = establish_call("0000000000000e00");
     router.signal("-TERM");
     std::thread::sleep(Duration::from_millis(900));
     let mut silent = router.connect_client();
@@ -202,10 +208,11 @@
     assert!(confirmed.is_none(), "confirmed with no client to tell");
 }
 
-/// A release was given up 1.2 s after the call's end, when only clients that never send a message were connected.
+/// Guards against a release that is given up 1.2 s after the end of its call, when only clients that never
+/// send a message are connected.
 #[test]
-fn a_release_that_only_silent_clients_were_sent_reaches_the_client_that_comes_later() {
-    let (_exchange, router, client, stream) = one_standing("0000000000000f00");
+fn a_release_sent_only_to_silent_clients_is_repeated_to_a_client_that_connects_later() {
+    let (_exchange, router, client, stream) = establish_call("0000000000000f00");
     let _silent = [router.connect_client(), router.connect_client()];
     drop(client);
     std::thread::sleep(Duration::from_millis(50));
@@ -220,7 +227,7 @@
     );
 }
 
-/// An answer that was ready when its client closed its sending side was dropped.
+/// Guards against the loss of an answer that is ready when its client closes its sending side.
 #[test]
 fn a_request_right_before_the_client_closes_its_sending_side_is_answered() {
     let exchange = Exchange::start();
