--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -23,8 +23,8 @@
 use crate::call::core::{Core, Effect, Reply, Request};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
-use crate::lifecycle::config::Enum;
-use crate::protocol::dns::{self, Lead, Message, Name, Naptr};
+use crate::lifecycle::config::EnumConfig;
+use crate::protocol::dns::{self, Message, Name, Naptr, Target};
 use crate::Controller;
 
 /// Class of a resolver's query.
@@ -53,11 +53,11 @@
 
 /// Where a call is to go, or why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Resolved {
+pub enum Resolution {
     /// To this place.
-    To(NodeNumber),
+    RouteTo(NodeNumber),
     /// The number does not exist or leads nowhere that is served here.
-    Nowhere,
+    NotFound,
     /// Not known in time.
     Unknown,
 }
@@ -83,7 +83,7 @@
     pub core: Core,
     clock: Clock,
     log: Logger,
-    setup: Enum,
+    config: EnumConfig,
     /// Only the active of several routers answers.
     active: Rc<Cell<bool>>,
     socket: Option<Rc<UdpSocket>>,
@@ -106,21 +106,21 @@
     /// # Errors
     /// When the decision module takes the settings for senseless.
     pub fn new(
-        setup: &Enum,
+        config: &EnumConfig,
         seed: u64,
         log: Logger,
         clock: Clock,
         active: Rc<Cell<bool>>,
     ) -> Result<Handle, SettingsError> {
         let now = clock.now();
-        let core = Core::new(Controller::new(setup.settings.clone(), seed, now)?, Exchanges::default(), now);
+        let core = Core::new(Controller::new(config.settings.clone(), seed, now)?, Exchanges::default(), now);
         Ok(Rc::new_cyclic(|me| {
             let mut front = Self {
                 me: me.clone(),
                 core,
                 clock,
                 log,
-                setup: setup.clone(),
+                config: config.clone(),
                 active,
                 socket: None,
                 askers: HashMap::new(),
@@ -140,7 +140,7 @@
     /// listed run on to their end.
     fn list_upstreams(&mut self) {
         let id = |address: &SocketAddr| ExchangeId(address.to_string().into());
-        let entries = self.setup.upstreams.iter().zip(0..).map(|(address, place)| DirectoryEntry {
+        let entries = self.config.upstreams.iter().zip(0..).map(|(address, place)| DirectoryEntry {
             exchange: id(address),
             node: NodeNumber(place),
             zone: 0,
@@ -148,20 +148,20 @@
             up_since: None,
         });
         self.core.directory(self.clock.now(), UpdateKind::Full, entries.collect());
-        for address in &self.setup.upstreams {
+        for address in &self.config.upstreams {
             let upstream = Upstream { address: *address, out: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
         }
-        let listed = &self.setup.upstreams;
+        let listed = &self.config.upstreams;
         self.upstreams.retain(|_, u| listed.contains(&u.address) || !u.out.is_empty());
         self.tell_room();
     }
 
     /// Takes up a new set-up while look-ups go on. What the module was told at the start stays, and so does
     /// the socket.
-    pub fn reload(&mut self, setup: &Enum) {
-        let Enum { listen, query_timeout, settings, .. } = self.setup.clone();
-        self.setup = Enum { listen, query_timeout, settings, ..setup.clone() };
+    pub fn reload(&mut self, config: &EnumConfig) {
+        let EnumConfig { listen, query_timeout, settings, .. } = self.config.clone();
+        self.config = EnumConfig { listen, query_timeout, settings, ..config.clone() };
         self.list_upstreams();
         self.flush();
     }
@@ -185,7 +185,7 @@
 
     /// Tells the core how many more queries each upstream may get: its free 'agents'.
     fn tell_room(&mut self) {
-        let (now, size) = (self.clock.now(), self.setup.window as f64);
+        let (now, size) = (self.clock.now(), self.config.window_per_upstream as f64);
         let free: Vec<(ExchangeId, f64)> =
             self.upstreams.iter().map(|(id, u)| (id.clone(), size - u.out.len() as f64)).collect();
         for (id, free) in free {
@@ -221,12 +221,14 @@
         if !self.active.get() {
             return;
         }
-        let Some((id, response)) = dns::id_of(bytes) else { return };
+        let Some((id, response)) = dns::decode_header(bytes) else { return };
         if response {
             return; // guards against two servers that answer each other for ever
         }
-        let Some(query) = dns::read(bytes) else { return self.send_to_client(from, &dns::formerr(id)) };
-        let name = match dns::served(&query, &self.setup.zone) {
+        let Some(query) = dns::decode(bytes) else {
+            return self.send_to_client(from, &dns::format_error_response(id));
+        };
+        let name = match dns::validate_query(&query, &self.config.zone) {
             Ok(name) => name,
             Err(rcode) => return self.send_to_client(from, &dns::response(&query, rcode, &[])),
         };
@@ -235,13 +237,13 @@
         }
         // The last quarter is kept for calls, and of the rest no resolver takes more than half: guards the
         // others' turn against a flood from one.
-        let room = self.setup.most - self.setup.most / 4;
+        let room = self.config.max_look_ups - self.config.max_look_ups / 4;
         let own = self.asked.iter().filter(|(asker, _)| asker.ip() == from.ip()).count();
         if self.askers.len() >= room || own >= room.div_ceil(2) {
             return self.send_to_client(from, &dns::response(&query, dns::SERVFAIL, &[]));
         }
         self.asked.insert((from, id));
-        let within = self.setup.answer_within;
+        let within = self.config.answer_within;
         self.begin(Asker::Resolver { from, query }, QUERY, name, within);
     }
 
@@ -306,7 +308,7 @@
     fn query(&mut self, exchange: &ExchangeId, call: &CallId, left: Duration) {
         let (Some(me), Some(name)) = (self.me.upgrade(), self.names.get(call).cloned()) else { return };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
-        let (address, within) = (upstream.address, left.min(self.setup.query_timeout));
+        let (address, within) = (upstream.address, left.min(self.config.query_timeout));
         let (exchange, id) = (exchange.clone(), call.clone());
         let task = tokio::task::spawn_local(async move {
             let asked = tokio::time::timeout(within, ask(address, &name)).await;
@@ -322,7 +324,7 @@
             Err(Failed::Silent) => AttemptStatus::TimedOut,
             Err(Failed::Unreachable) => AttemptStatus::Unreachable,
             // What is cut or spoilt can't be read whole here; another server may give it in full.
-            Ok(reply) if reply.truncated => AttemptStatus::Full,
+            Ok(reply) if reply.is_truncated => AttemptStatus::Full,
             Ok(reply) => match reply.rcode {
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.found.insert(call.clone(), Found { rcode: reply.rcode, records: reply.records });
@@ -344,10 +346,10 @@
     }
 
     /// The place that a lead's host stands for.
-    fn place(&self, lead: &Lead) -> Option<NodeNumber> {
-        let Lead::Uri(uri) = lead else { return None };
-        let host = dns::host_of(uri)?.to_ascii_lowercase();
-        self.setup.routes.get(&host).copied()
+    fn place(&self, lead: &Target) -> Option<NodeNumber> {
+        let Target::Uri(uri) = lead else { return None };
+        let host = dns::sip_uri_host(uri)?.to_ascii_lowercase();
+        self.config.routes.get(&host).copied()
     }
 }
 
@@ -367,14 +369,14 @@
 fn answers(reply: &Message, id: u16, name: &Name) -> bool {
     let question = reply.question.as_ref();
     let same = question.is_some_and(|(n, kind, class)| n == name && (*kind, *class) == (dns::NAPTR, 1));
-    reply.response && reply.opcode == 0 && reply.id == id && same
+    reply.is_response && reply.opcode == 0 && reply.id == id && same
 }
 
 /// One query and its reply. What does not fit a datagram is asked for again over TCP (RFC 7766); if that
 /// fails, the reply stays cut.
 async fn ask(upstream: SocketAddr, name: &Name) -> Result<Message, Failed> {
     let reply = ask_by_datagram(upstream, name).await?;
-    if !reply.truncated {
+    if !reply.is_truncated {
         return Ok(reply);
     }
     Ok(ask_by_stream(upstream, name).await.unwrap_or(reply))
@@ -384,12 +386,12 @@
     let unreachable = |_: io::Error| Failed::Unreachable;
     let mut stream = TcpStream::connect(upstream).await.map_err(unreachable)?;
     let id = random_id()?;
-    stream.write_all(&dns::framed(&dns::query(id, name))).await.map_err(unreachable)?;
+    stream.write_all(&dns::with_length_prefix(&dns::query(id, name))).await.map_err(unreachable)?;
     // The length is two bytes, so what is read is bounded.
     let length = stream.read_u16().await.map_err(unreachable)?;
     let mut bytes = vec![0; usize::from(length)];
     stream.read_exact(&mut bytes).await.map_err(unreachable)?;
-    dns::read(&bytes).filter(|reply| answers(reply, id, name)).ok_or(Failed::Unreachable)
+    dns::decode(&bytes).filter(|reply| answers(reply, id, name)).ok_or(Failed::Unreachable)
 }
 
 /// From a port of its own, with a random id; anything else that arrives there is passed over, since anyone
@@ -405,7 +407,7 @@
     loop {
         let length = socket.recv(&mut buffer).await.map_err(unreachable)?;
         // Guards against waiting out a reply that came and was spoilt: another server is asked at once.
-        let reply = dns::read(&buffer[..length]).or_else(|| dns::read_spoilt(&buffer[..length]));
+        let reply = dns::decode(&buffer[..length]).or_else(|| dns::decode_corrupt(&buffer[..length]));
         let Some(reply) = reply else { continue };
         if answers(&reply, id, name) {
             return Ok(reply);
@@ -416,39 +418,39 @@
 // ---- tasks -------------------------------------------------------------------------------------
 
 /// Looks a number up for a call, following names that lead on, within a time.
-pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolved {
+pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolution {
     let search = async {
-        let zone = front.borrow().setup.zone.clone();
-        let Some(mut name) = dns::name_of(&number, &zone) else { return Resolved::Nowhere };
+        let zone = front.borrow().config.zone.clone();
+        let Some(mut name) = dns::name_for_number(&number, &zone) else { return Resolution::NotFound };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
         let (full, end) = (format!("+{digits}"), tokio::time::Instant::now() + within);
         for _ in 0..FOLLOWED {
             let (sender, answer) = oneshot::channel();
             {
                 let mut front = front.borrow_mut();
-                if front.askers.len() >= front.setup.most {
-                    return Resolved::Unknown;
+                if front.askers.len() >= front.config.max_look_ups {
+                    return Resolution::Unknown;
                 }
                 let left = end.saturating_duration_since(tokio::time::Instant::now());
                 front.begin(Asker::Call(sender), CALL, name.clone(), left);
             }
-            let Ok(Some(found)) = answer.await else { return Resolved::Unknown };
-            let leads = dns::leads(&found.records, &full);
+            let Ok(Some(found)) = answer.await else { return Resolution::Unknown };
+            let leads = dns::targets(&found.records, &full);
             // Leads to hosts that are not served here are passed over, as are circles.
             let front = front.borrow();
             let next = leads.iter().find_map(|lead| match lead {
-                Lead::On(on) => Some(Err(on.clone())),
+                Target::Name(on) => Some(Err(on.clone())),
                 uri => front.place(uri).map(Ok),
             });
             match next {
-                Some(Ok(place)) => return Resolved::To(place),
+                Some(Ok(place)) => return Resolution::RouteTo(place),
                 Some(Err(on)) if on != name => name = on,
-                _ => return Resolved::Nowhere,
+                _ => return Resolution::NotFound,
             }
         }
-        Resolved::Nowhere
+        Resolution::NotFound
     };
-    tokio::time::timeout(within, search).await.unwrap_or(Resolved::Unknown)
+    tokio::time::timeout(within, search).await.unwrap_or(Resolution::Unknown)
 }
 
 /// Takes queries.
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -7,16 +7,16 @@
         let now = self.clock.now();
         self.clients.on_message(now, client);
         let Some(id) = message.call_id().map(|id| CallId(id.into())) else {
-            return self.reject(client, 400, &message.echoed(), "no Call-ID");
+            return self.reject(client, 400, &message.echoed_headers(), "no Call-ID");
         };
-        let Start::Request { method, user } = &message.start else {
+        let StartLine::Request { method, user } = &message.start_line else {
             let of = message.header("CSeq").unwrap_or_default();
-            if of.ends_with("BYE") && message.start != Start::Response(100) {
+            if of.ends_with("BYE") && message.start_line != StartLine::Response(100) {
                 self.unconfirmed_releases.remove(&id);
             }
             return;
         };
-        let echoed = message.echoed();
+        let echoed = message.echoed_headers();
         match method.as_str() {
             "INVITE" => self.on_invite(now, client, id, user.as_str().into(), &message, echoed),
             "ACK" => {}
@@ -32,7 +32,7 @@
                 let status = if known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
                 self.unconfirmed_releases.remove(&id);
-                let cause = sip::cause_of(message.header("Reason"));
+                let cause = sip::release_cause(message.header("Reason"));
                 self.core.hang_up(now, &id, cause);
             }
             "OPTIONS" => {
@@ -113,7 +113,7 @@
         let class = message.header("X-Call-Class");
         let class = class.and_then(|name| self.class_names.iter().position(|n| n == name))?;
         let limit = Duration::from_millis(message.header("X-Ring-Limit")?.parse().ok()?);
-        let figures = sip::figures(message.header("X-Dest").unwrap_or_default())?;
+        let figures = sip::parse_parameters(message.header("X-Dest").unwrap_or_default())?;
         let figure = |name| figures.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
         // `None` for a value that is no whole number or out of range, `Some(None)` for a missing one.
         let integer = |name, min: f64, max: f64| match figure(name) {
@@ -184,13 +184,13 @@
             }
             let now = platform.clock.now();
             match resolved {
-                Resolved::To(place) => {
+                Resolution::RouteTo(place) => {
                     request.offer.destination = place;
                     request.offer.remaining = deadline.saturating_sub(now);
                     platform.core.request(now, request);
                 }
-                Resolved::Nowhere => platform.answer_unrouted(&id, 404),
-                Resolved::Unknown => platform.answer_unrouted(&id, 503),
+                Resolution::NotFound => platform.answer_unrouted(&id, 404),
+                Resolution::Unknown => platform.answer_unrouted(&id, 503),
             }
             platform.flush();
         });
@@ -265,10 +265,10 @@
     }
 
     /// Rejects a malformed message and closes its connection, since the start of the next message is unknown.
-    pub(in crate::net) fn on_malformed_message(&mut self, client: u64, error: &sip::Malformed) {
+    pub(in crate::net) fn on_malformed_message(&mut self, client: u64, error: &sip::MalformedMessage) {
         debug!(self.log, "message malformed"; "connection_id" => client, "status" => error.status,
-            "reason" => error.why);
-        self.metrics.count_protocol_error(error.why);
+            "reason" => error.reason);
+        self.metrics.count_protocol_error(error.reason);
         self.send_to_client(client, &sip::response(error.status, "", None, b""));
         self.clients.request_close(client, CloseReason::MalformedMessage);
     }
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -7,7 +7,7 @@
         &mut self,
         exchange: &ExchangeId,
         connection: ConnectionId,
-        line: &jsonl::Line,
+        line: &jsonl::Message,
     ) {
         if self.is_stopped {
             return; // no client can be informed any more; the exchange repeats this to the next process
@@ -39,10 +39,10 @@
                 self.metrics.count_outcome(outcome_label(status));
                 self.core.reply(now, exchange, &id, Reply::Ended { status, cause, report });
                 if was_established {
-                    self.send_to_exchange(exchange, connection, &jsonl::plain("FINISHED", &id.0, None));
+                    self.send_to_exchange(exchange, connection, &jsonl::reply("FINISHED", &id.0, None));
                 }
             }
-            "ECHO" => self.send_to_exchange(exchange, connection, &jsonl::plain("ECHOED", &id.0, Some(1))),
+            "ECHO" => self.send_to_exchange(exchange, connection, &jsonl::reply("ECHOED", &id.0, Some(1))),
             _ => {}
         }
         self.flush();
@@ -69,7 +69,7 @@
 
     /// Returns the configured gauges of a load report; -1 for a gauge that the report lacks.
     pub(super) fn parse_load(&self, load: &str) -> Vec<f64> {
-        self.gauge_names.iter().map(|name| sip::figure(load, name).unwrap_or(-1.0)).collect()
+        self.gauge_names.iter().map(|name| sip::parameter(load, name).unwrap_or(-1.0)).collect()
     }
 
     /// Opens a connection to an exchange if one is needed, or releases its calls if it is out of reach.
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -44,10 +44,10 @@
             let ended = connection::run_connection(stream, &writes, |bytes| {
                 decoder.feed(bytes);
                 loop {
-                    match decoder.take() {
+                    match decoder.next_message() {
                         Ok(Some(line)) => platform.borrow_mut().on_exchange_line(&exchange, id, &line),
                         Ok(None) => {
-                            platform.borrow_mut().on_exchange_read(&exchange, id, decoder.is_amid());
+                            platform.borrow_mut().on_exchange_read(&exchange, id, decoder.has_partial_line());
                             return ControlFlow::Continue(());
                         }
                         Err(why) => {
@@ -115,10 +115,10 @@
     let ended = connection::run_connection(stream, &writes, |bytes| {
         decoder.feed(bytes);
         loop {
-            match decoder.take() {
+            match decoder.next_message() {
                 Ok(Some(message)) => platform.borrow_mut().on_client_message(client, message),
                 Ok(None) => {
-                    platform.borrow_mut().on_client_read(client, decoder.is_amid());
+                    platform.borrow_mut().on_client_read(client, decoder.has_partial_message());
                     return ControlFlow::Continue(());
                 }
                 Err(e) => {
@@ -157,7 +157,7 @@
                 last_received_at.set(Instant::now());
                 decoder.feed(bytes);
                 loop {
-                    match decoder.take() {
+                    match decoder.next_frame() {
                         Ok(Some(frame)) => platform.borrow_mut().on_coordinator_frame(frame),
                         Ok(None) => return ControlFlow::Continue(()),
                         Err(why) => {
