--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -175,7 +175,7 @@
     Duration::from_nanos(value.unwrap_or(0))
 }
 
-fn places(numbers: &[u32]) -> Vec<NodeNumber> {
+fn node_numbers(numbers: &[u32]) -> Vec<NodeNumber> {
     numbers.iter().copied().map(NodeNumber).collect()
 }
 
@@ -207,7 +207,7 @@
             .skilled_pools
             .as_ref()
             .and_then(|p| p.get(index))
-            .map_or_else(Vec::new, |p| places(p.as_deref().unwrap_or_default())),
+            .map_or_else(Vec::new, |p| node_numbers(p.as_deref().unwrap_or_default())),
     })
 }
 
@@ -363,8 +363,8 @@
     }
 }
 
-/// Returns the place with this number; a negative number stands for no place.
-fn parse_place(number: Option<f64>) -> Option<NodeNumber> {
+/// Returns the node with this number; a negative number stands for no node.
+fn parse_node_number(number: Option<f64>) -> Option<NodeNumber> {
     number.filter(|n| *n >= 0.0 && *n <= f64::from(u32::MAX)).map(|n| NodeNumber(n as u32))
 }
 
@@ -404,9 +404,10 @@
                 tenant: query.org.unwrap_or(0),
                 called_number: query.route_key.unwrap_or_default(),
                 remaining: Duration::from_nanos(query.remaining_ns),
-                destination: parse_place(query.called_node).ok_or("missing or invalid field `CalledNode`")?,
+                destination: parse_node_number(query.called_node)
+                    .ok_or("missing or invalid field `CalledNode`")?,
                 circuits: query.units.filter(|u| *u >= 0.0).map(|u| u as u32),
-                via: parse_place(query.hop),
+                via: parse_node_number(query.hop),
                 flagged_as_redial: query.again_by_client.unwrap_or(false),
                 is_transit: query.in_transit.unwrap_or(false),
                 is_reconnect: query.reconnect.unwrap_or(false),
--- a/src/call/calls.rs
+++ b/src/call/calls.rs
@@ -16,7 +16,7 @@
     /// Exchange that it was sent to.
     pub exchange: ExchangeId,
     /// Number of the attempt within its call, from 0.
-    pub seq: u32,
+    pub number: u32,
     /// Time at which it was sent.
     pub sent_at: Duration,
 }
@@ -29,7 +29,7 @@
     /// Index of its class.
     pub class: usize,
     /// Called number.
-    pub number: Arc<str>,
+    pub called_number: Arc<str>,
     /// Session description, passed on unchanged.
     pub description: Arc<str>,
     /// Time at which the caller stops waiting for an answer.
@@ -39,7 +39,7 @@
     /// Attempt that is pending or that established the call.
     pub attempt: Option<Attempt>,
     /// Set once an exchange has answered: the call is established.
-    pub stands: bool,
+    pub is_established: bool,
 }
 
 /// Time for which the id of an ended call is kept, so that messages arriving late for it are recognized.
@@ -86,11 +86,11 @@
 
     /// Number of requests without a final answer.
     pub fn unanswered(&self) -> usize {
-        self.open.values().filter(|c| !c.stands).count()
+        self.open.values().filter(|c| !c.is_established).count()
     }
 
     /// Number of established calls.
-    pub fn standing(&self) -> usize {
+    pub fn established(&self) -> usize {
         self.open.len() - self.unanswered()
     }
 }
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -28,7 +28,7 @@
     /// Source of the request, to which the answer goes.
     pub origin: Origin,
     /// Description of the call for the controller.
-    pub offer: OfferedCall,
+    pub offered: OfferedCall,
     /// Session description, passed on unchanged.
     pub description: Arc<str>,
 }
@@ -37,15 +37,15 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// The call is established; holds the exchange's session description.
-    Stands(Arc<str>),
+    Established(Arc<str>),
     /// The attempt, or the call that it established, has ended.
     Ended {
         /// How it ended.
         status: AttemptStatus,
         /// Why it ended, if the exchange said.
-        cause: Option<FailureCause>,
+        failure_cause: Option<FailureCause>,
         /// Load report in the order of the configured gauges; empty if none came with the reply.
-        report: Vec<f64>,
+        load_report: Vec<f64>,
     },
 }
 
@@ -61,9 +61,9 @@
         /// Index of the call's class.
         class: usize,
         /// Called number.
-        number: Arc<str>,
+        called_number: Arc<str>,
         /// Time until the attempt times out.
-        left: Duration,
+        remaining: Duration,
         /// Session description.
         description: Arc<str>,
     },
@@ -92,7 +92,7 @@
         /// Call that was requested.
         call: CallId,
         /// Time that the caller is asked to wait before it tries again.
-        stay_away: Option<Duration>,
+        hold_off: Option<Duration>,
     },
     /// Gives the final answer that the request failed; an exchange may have set up the call.
     Fail {
@@ -111,7 +111,7 @@
         cause: u32,
     },
     /// Sends a message to all other controllers.
-    TellAll(String),
+    Broadcast(String),
     /// Writes a line to the operators' log.
     Log(String),
 }
@@ -204,15 +204,17 @@
     }
 
     /// Returns `true` if an established call is held at the exchange.
-    pub fn stands_at(&self, exchange: &ExchangeId) -> bool {
-        let is_held_here = |c: &Call| c.stands && c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange);
+    pub fn has_established_call_at(&self, exchange: &ExchangeId) -> bool {
+        let is_held_here =
+            |c: &Call| c.is_established && c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange);
         self.calls.open.values().any(is_held_here)
     }
 
     /// Ends every established call at an exchange that can no longer release them itself: its process has
     /// ended or is out of reach.
     pub fn reset_calls_at(&mut self, now: Duration, exchange: &ExchangeId) {
-        let is_held_here = |c: &Call| c.stands && c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange);
+        let is_held_here =
+            |c: &Call| c.is_established && c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange);
         let mut affected: Vec<CallId> =
             self.calls.open.iter().filter(|(_, c)| is_held_here(c)).map(|(id, _)| id.clone()).collect();
         affected.sort();
@@ -224,29 +226,29 @@
     /// Handles a request, which gets exactly one final answer, or none if its caller gives up before.
     pub fn handle_request(&mut self, now: Duration, request: Request) {
         self.advance_clock(now);
-        let (id, offer) = (request.offer.call.clone(), request.offer);
+        let (id, offered) = (request.offered.call.clone(), request.offered);
         if self.calls.open.contains_key(&id) || self.calls.has_ended(&id) {
             // Ids are never reused, so this is a repeat of the same request; answering it again would give
             // the caller a second answer.
             return self.effects.push(Effect::Log(format!("duplicate request ignored: call {}", id.0)));
         }
         if self.calls.open.len() >= MAX_OPEN_CALLS {
-            return self.effects.push(Effect::Refuse { origin: request.origin, call: id, stay_away: None });
+            return self.effects.push(Effect::Refuse { origin: request.origin, call: id, hold_off: None });
         }
-        let deadline = self.now + offer.remaining;
+        let deadline = self.now + offered.remaining;
         self.timers.schedule(deadline + DEADLINE_GRACE, Timer::RequestDeadline(id.clone()));
         let call = Call {
             origin: request.origin,
-            class: offer.class,
-            number: offer.called_number.clone(),
+            class: offered.class,
+            called_number: offered.called_number.clone(),
             description: request.description,
             deadline,
             attempt_count: 0,
             attempt: None,
-            stands: false,
+            is_established: false,
         };
         self.calls.open.insert(id, call);
-        self.events.push_back(Event::CallOffered(offer));
+        self.events.push_back(Event::CallOffered(offered));
         self.process_events();
     }
 
@@ -265,7 +267,7 @@
             self.effects.push(Effect::ReleaseAtExchange { exchange, call: id.clone(), cause });
         }
         let Some(call) = call else { return };
-        if !call.stands {
+        if !call.is_established {
             self.events.push_back(Event::CallAbandoned(id.clone()));
         }
         if let Some(attempt) = attempt {
@@ -280,23 +282,23 @@
         let call = self.calls.open.get_mut(id);
         let current = call.filter(|c| c.attempt.as_ref().is_some_and(|a| a.exchange == *exchange));
         match (current, reply) {
-            (Some(call), Reply::Stands(description)) => {
-                if std::mem::replace(&mut call.stands, true) {
+            (Some(call), Reply::Established(description)) => {
+                if std::mem::replace(&mut call.is_established, true) {
                     return;
                 }
                 let Some(attempt) = call.attempt.clone() else { return };
                 let origin = call.origin;
                 self.effects.push(Effect::Answer { origin, call: id.clone(), description });
-                let took = self.now.saturating_sub(attempt.sent_at);
+                let elapsed = self.now.saturating_sub(attempt.sent_at);
                 let (call, exchange) = (id.clone(), attempt.exchange);
                 self.events.push_back(Event::CallEstablished {
                     call,
-                    attempt_number: attempt.seq,
+                    attempt_number: attempt.number,
                     exchange,
-                    elapsed: took,
+                    elapsed,
                 });
             }
-            (None, Reply::Stands(_)) => {
+            (None, Reply::Established(_)) => {
                 // The set-up was abandoned while this answer was in flight, or was sent before this router
                 // restarted. The call is released, since its circuits would otherwise stay seized.
                 let exchange = Some(exchange.clone());
@@ -306,9 +308,9 @@
                     cause: CAUSE_NORMAL_CLEARING,
                 });
             }
-            (Some(call), Reply::Ended { status, cause, report }) => {
+            (Some(call), Reply::Ended { status, failure_cause, load_report }) => {
                 let Some(attempt) = call.attempt.take() else { return };
-                let was_established = call.stands;
+                let was_established = call.is_established;
                 if was_established {
                     let origin = Some(call.origin);
                     let cause = if status == AttemptStatus::Ended {
@@ -319,10 +321,10 @@
                     self.effects.push(Effect::ReleaseAtClient { origin, call: id.clone(), cause });
                     self.calls.end(id, self.now);
                 }
-                self.queue_outcome(id, &attempt, status, cause, report, was_established);
+                self.queue_outcome(id, &attempt, status, failure_cause, load_report, was_established);
             }
-            (None, Reply::Ended { status, report, .. }) => {
-                self.events.push_back(sampled_event(exchange, report));
+            (None, Reply::Ended { status, load_report, .. }) => {
+                self.events.push_back(load_reported(exchange, load_report));
                 let known = self.calls.open.contains_key(id) || self.calls.has_ended(id);
                 if !known {
                     // The call was established before this router started.
@@ -340,9 +342,9 @@
     }
 
     /// Handles a load report that an exchange sent unasked.
-    pub fn handle_load_report(&mut self, now: Duration, exchange: &ExchangeId, report: Vec<f64>) {
+    pub fn handle_load_report(&mut self, now: Duration, exchange: &ExchangeId, load_report: Vec<f64>) {
         self.advance_clock(now);
-        self.events.push_back(sampled_event(exchange, report));
+        self.events.push_back(load_reported(exchange, load_report));
         self.process_events();
     }
 
@@ -359,7 +361,7 @@
         while let Some(due) = self.timers.pop_due(self.now) {
             match due {
                 Timer::Controller(token) => self.events.push_back(Event::TimerExpired(token)),
-                Timer::AttemptTimeout(id, seq) => self.time_out_attempt(&id, seq),
+                Timer::AttemptTimeout(id, number) => self.time_out_attempt(&id, number),
                 Timer::RequestDeadline(id) => self.fail_overdue_request(&id),
             }
             self.process_events();
@@ -372,15 +374,15 @@
         let mut actions = Vec::new();
         self.controller.give_up_all(self.now, &mut actions);
         actions.into_iter().for_each(|action| self.execute(action));
-        let open = self.calls.open.iter().filter(|(_, c)| !c.stands);
+        let open = self.calls.open.iter().filter(|(_, c)| !c.is_established);
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
         open.iter().for_each(|id| self.fail_overdue_request(id));
         self.process_events();
     }
 
-    fn time_out_attempt(&mut self, id: &CallId, seq: u32) {
-        let Some(call) = self.calls.open.get_mut(id).filter(|c| !c.stands) else { return };
-        let Some(attempt) = call.attempt.take_if(|a| a.seq == seq) else { return };
+    fn time_out_attempt(&mut self, id: &CallId, number: u32) {
+        let Some(call) = self.calls.open.get_mut(id).filter(|c| !c.is_established) else { return };
+        let Some(attempt) = call.attempt.take_if(|a| a.number == number) else { return };
         self.release_attempt(id, &attempt);
         self.queue_outcome(id, &attempt, AttemptStatus::TimedOut, None, Vec::new(), false);
     }
@@ -388,7 +390,7 @@
     /// Answers a request whose deadline has passed. Rule 1 requires one final answer to every request, even
     /// if the controller gives none.
     fn fail_overdue_request(&mut self, id: &CallId) {
-        if self.calls.open.get(id).is_none_or(|c| c.stands) {
+        if self.calls.open.get(id).is_none_or(|c| c.is_established) {
             return;
         }
         let Some(call) = self.calls.end(id, self.now) else { return };
@@ -409,25 +411,25 @@
         });
     }
 
-    /// Queues the event that an attempt has ended; `complete` if the call itself has ended.
+    /// Queues the event that an attempt has ended; `call_ended` if the call itself has ended.
     fn queue_outcome(
         &mut self,
         id: &CallId,
         attempt: &Attempt,
         status: AttemptStatus,
-        cause: Option<FailureCause>,
-        report: Vec<f64>,
-        complete: bool,
+        failure_cause: Option<FailureCause>,
+        load_report: Vec<f64>,
+        call_ended: bool,
     ) {
         self.events.push_back(Event::AttemptEnded(Outcome {
             call: id.clone(),
-            attempt_number: attempt.seq,
+            attempt_number: attempt.number,
             exchange: attempt.exchange.clone(),
             status,
             elapsed: self.now.saturating_sub(attempt.sent_at),
-            call_ended: complete,
-            failure_cause: cause,
-            load_report: report,
+            call_ended,
+            failure_cause,
+            load_report,
         }));
     }
 
@@ -436,9 +438,9 @@
             Action::SendSetUp { call, exchange, give_up_at } => {
                 self.send_attempt(&call, exchange, give_up_at)
             }
-            Action::Refuse { call, hold_off: stay_away } => {
+            Action::Refuse { call, hold_off } => {
                 if let Some(Call { origin, .. }) = self.end_unanswered(&call) {
-                    self.effects.push(Effect::Refuse { origin, call, stay_away });
+                    self.effects.push(Effect::Refuse { origin, call, hold_off });
                 }
             }
             Action::Fail(call) => {
@@ -446,16 +448,18 @@
                     self.effects.push(Effect::Fail { origin, call });
                 }
             }
-            Action::Cancel { call, attempt_number: seq } => {
-                let open = self.calls.open.get_mut(&call).filter(|c| !c.stands);
-                let Some(attempt) = open.and_then(|c| c.attempt.take_if(|a| a.seq == seq)) else { return };
+            Action::Cancel { call, attempt_number: number } => {
+                let open = self.calls.open.get_mut(&call).filter(|c| !c.is_established);
+                let Some(attempt) = open.and_then(|c| c.attempt.take_if(|a| a.number == number)) else {
+                    return;
+                };
                 self.release_attempt(&call, &attempt);
                 self.queue_outcome(&call, &attempt, AttemptStatus::Cancelled, None, Vec::new(), false);
             }
             Action::StartTimer { after, token } => {
                 self.timers.schedule(self.now + after, Timer::Controller(token))
             }
-            Action::Broadcast(text) => self.effects.push(Effect::TellAll(text)),
+            Action::Broadcast(text) => self.effects.push(Effect::Broadcast(text)),
             Action::Log(line) => self.effects.push(Effect::Log(line)),
             // The directory is pushed to the router, and exchanges offer no probe.
             Action::Subscribe | Action::Probe(_) => {}
@@ -466,7 +470,7 @@
     ///
     /// Returns `None` if the call is not open or has been answered.
     fn end_unanswered(&mut self, id: &CallId) -> Option<Call> {
-        self.calls.open.get(id).filter(|c| !c.stands)?;
+        self.calls.open.get(id).filter(|c| !c.is_established)?;
         let call = self.calls.end(id, self.now)?;
         if let Some(attempt) = &call.attempt {
             self.release_attempt(id, attempt);
@@ -480,19 +484,19 @@
         let is_listed = self.exchanges.is_listed(&exchange);
         let Some(call) = self.calls.open.get_mut(id) else { return };
         let until = if until.is_zero() { call.deadline } else { until.min(call.deadline) };
-        let attempt = Attempt { exchange: exchange.clone(), seq: call.attempt_count, sent_at: self.now };
+        let attempt = Attempt { exchange: exchange.clone(), number: call.attempt_count, sent_at: self.now };
         call.attempt_count += 1;
-        if !is_listed || call.attempt.is_some() || call.stands || until <= self.now {
+        if !is_listed || call.attempt.is_some() || call.is_established || until <= self.now {
             return self.queue_outcome(id, &attempt, AttemptStatus::Moot, None, Vec::new(), false);
         }
-        self.timers.schedule(until, Timer::AttemptTimeout(id.clone(), attempt.seq));
+        self.timers.schedule(until, Timer::AttemptTimeout(id.clone(), attempt.number));
         call.attempt = Some(attempt);
         self.effects.push(Effect::SendSetUp {
             exchange,
             call: id.clone(),
             class: call.class,
-            number: call.number.clone(),
-            left: until - self.now,
+            called_number: call.called_number.clone(),
+            remaining: until - self.now,
             description: call.description.clone(),
         });
     }
@@ -500,14 +504,14 @@
 
 /// Returns a reply that the attempt or call ended, without cause and load report.
 pub fn ended_reply(status: AttemptStatus) -> Reply {
-    Reply::Ended { status, cause: None, report: Vec::new() }
+    Reply::Ended { status, failure_cause: None, load_report: Vec::new() }
 }
 
-fn sampled_event(exchange: &ExchangeId, report: Vec<f64>) -> Event {
+fn load_reported(exchange: &ExchangeId, load_report: Vec<f64>) -> Event {
     Event::LoadReported {
         exchange: exchange.clone(),
         probe_answered: true,
         elapsed: Duration::ZERO,
-        load_report: report,
+        load_report,
     }
 }
--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -87,7 +87,7 @@
 
     fn calls(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        let standing = platform.core.calls.standing();
+        let standing = platform.core.calls.established();
         let _ = writeln!(text, "calls unanswered {} standing {standing}", platform.unanswered());
     }
 
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -212,7 +212,7 @@
             is_transit: false,
             is_reconnect: false,
         };
-        let request = Request { origin: Origin(self.next), offer, description: "".into() };
+        let request = Request { origin: Origin(self.next), offered: offer, description: "".into() };
         self.core.handle_request(self.clock.now(), request);
         self.flush();
     }
@@ -268,7 +268,7 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::SendSetUp { exchange, call, left, .. } => self.query(&exchange, &call, left),
+            Effect::SendSetUp { exchange, call, remaining, .. } => self.query(&exchange, &call, remaining),
             Effect::ReleaseAtExchange { exchange: Some(exchange), call, .. } => self.forget(&exchange, &call),
             Effect::Answer { call, .. } => {
                 let found = self.found.remove(&call);
@@ -276,7 +276,7 @@
             }
             Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
-            Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::TellAll(_) => {}
+            Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::Broadcast(_) => {}
         }
     }
 
@@ -328,7 +328,7 @@
             Ok(reply) => match reply.rcode {
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.found.insert(call.clone(), Found { rcode: reply.rcode, records: reply.records });
-                    self.core.handle_reply(now, exchange, call, Reply::Stands("".into()));
+                    self.core.handle_reply(now, exchange, call, Reply::Established("".into()));
                     AttemptStatus::Ended
                 }
                 // Not resolved by this one; another may.
@@ -339,7 +339,12 @@
         if status != AttemptStatus::Ended {
             debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "how" => ?status);
         }
-        self.core.handle_reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
+        self.core.handle_reply(
+            now,
+            exchange,
+            call,
+            Reply::Ended { status, failure_cause: None, load_report: Vec::new() },
+        );
         self.tell_room();
         self.flush();
         self.found.remove(call); // left only if nobody waits any more
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -93,7 +93,7 @@
             "class" => offer.class, "left_ms" => offer.remaining.as_millis(), "transit" => offer.is_transit);
         self.invites.insert(id.clone(), Invite { client, echoed });
         self.clients.begin(client, id);
-        let request = Request { origin: Origin(client), offer, description: description.into() };
+        let request = Request { origin: Origin(client), offered: offer, description: description.into() };
         match dest {
             Some(_) => self.core.handle_request(now, request),
             None => self.look_up(now, request),
@@ -166,20 +166,20 @@
     /// Finds the destination of a call that brings only a number, then routes it with the time it has left.
     pub(super) fn look_up(&mut self, now: Duration, mut request: Request) {
         let (Some((front, share)), Some(me)) = (self.look_up.clone(), self.me.upgrade()) else { return };
-        let deadline = now + request.offer.remaining;
-        let within = request.offer.remaining.mul_f64(share);
+        let deadline = now + request.offered.remaining;
+        let within = request.offered.remaining.mul_f64(share);
         tokio::task::spawn_local(async move {
-            let found = enumeration::resolve(front, request.offer.called_number.to_string(), within).await;
+            let found = enumeration::resolve(front, request.offered.called_number.to_string(), within).await;
             let mut platform = me.borrow_mut();
-            let id = request.offer.call.clone();
+            let id = request.offered.call.clone();
             if !platform.invites.contains_key(&id) {
                 return; // the caller has gone
             }
             let now = platform.clock.now();
             match found {
                 Resolution::RouteTo(place) => {
-                    request.offer.destination = place;
-                    request.offer.remaining = deadline.saturating_sub(now);
+                    request.offered.destination = place;
+                    request.offered.remaining = deadline.saturating_sub(now);
                     platform.core.handle_request(now, request);
                 }
                 Resolution::NotFound => platform.answer_unrouted(&id, 404),
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -20,11 +20,11 @@
     pub(super) fn carry_out(&mut self, effect: Effect) {
         let now = self.clock.now();
         match effect {
-            Effect::SendSetUp { exchange, call, class, number, left, description } => {
+            Effect::SendSetUp { exchange, call, class, called_number, remaining, description } => {
                 let class = self.class_names.get(class).map_or("", String::as_str);
-                let bytes = jsonl::start(&call.0, class, &number, left.as_millis(), &description);
+                let bytes = jsonl::start(&call.0, class, &called_number, remaining.as_millis(), &description);
                 debug!(self.log, "attempt sent"; "call_id" => &*call.0, "exchange_id" => &*exchange.0,
-                    "left_ms" => left.as_millis());
+                    "left_ms" => remaining.as_millis());
                 self.metrics.count_attempt();
                 if let Some(pool) = self.pools.get_mut(&exchange) {
                     pool.start(now, &call, bytes);
@@ -56,15 +56,15 @@
                     self.core.hang_up(now, &call, CAUSE_TEMPORARY_FAILURE);
                 }
             }
-            Effect::Refuse { call, stay_away, .. } => {
-                let hold_off = stay_away.map(|d| d.as_millis()).or(self.hold_off);
+            Effect::Refuse { call, hold_off, .. } => {
+                let hold_off = hold_off.map(|d| d.as_millis()).or(self.hold_off);
                 self.answer_request(&call, 503, "refused", hold_off, b"");
             }
             Effect::Fail { call, .. } => {
                 self.answer_request(&call, 500, "failed", None, b"");
             }
             Effect::ReleaseAtClient { origin, call, cause } => self.release(origin.map(|o| o.0), call, cause),
-            Effect::TellAll(text) => self.tell_all(&text),
+            Effect::Broadcast(text) => self.tell_all(&text),
             Effect::Log(line) => info!(self.log, "{}", line),
         }
     }
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -27,16 +27,21 @@
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
                 self.metrics.count_attempt_outcome("stands");
                 let description = line.blob.as_deref().unwrap_or_default().into();
-                self.core.handle_reply(now, exchange, &id, Reply::Stands(description));
+                self.core.handle_reply(now, exchange, &id, Reply::Established(description));
             }
             "FINISH" => {
-                let stood = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
+                let stood = self.core.calls.open.get(&id).is_none_or(|c| c.is_established);
                 let status = end_of(line.cause, stood);
                 let cause = line.note.as_deref().and_then(cause_of);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
                     "status" => ?status, "cause" => ?line.cause, "note" => line.note.as_deref().unwrap_or(""));
                 self.metrics.count_attempt_outcome(outcome_name(status));
-                self.core.handle_reply(now, exchange, &id, Reply::Ended { status, cause, report });
+                self.core.handle_reply(
+                    now,
+                    exchange,
+                    &id,
+                    Reply::Ended { status, failure_cause: cause, load_report: report },
+                );
                 if stood {
                     self.answer(exchange, conn, &jsonl::reply("FINISHED", &id.0, None));
                 }
@@ -68,7 +73,7 @@
     pub(super) fn connect(&mut self, exchange: &ExchangeId) {
         let (now, id) = (self.clock.now(), ConnId(self.conn()));
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        let missed = pool.is_idle(now) && self.core.stands_at(exchange);
+        let missed = pool.is_idle(now) && self.core.has_established_call_at(exchange);
         if missed && pool.is_out_of_reach(now) {
             warn!(self.log, "out of reach, its calls are released"; "exchange_id" => &*exchange.0);
             self.core.reset_calls_at(now, exchange);
@@ -141,11 +146,11 @@
 
     pub(super) fn on_connection_reset(&mut self, exchange: &ExchangeId, id: &CallId, ran: bool) {
         let status = ExchangePool::status(ran);
-        if self.core.calls.open.get(id).is_some_and(|c| !c.stands) {
+        if self.core.calls.open.get(id).is_some_and(|c| !c.is_established) {
             debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
                 "status" => ?status);
             self.metrics.count_attempt_outcome(outcome_name(status));
-            let reply = Reply::Ended { status, cause: None, report: Vec::new() };
+            let reply = Reply::Ended { status, failure_cause: None, load_report: Vec::new() };
             self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
     }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -134,7 +134,7 @@
     /// When the decision module takes the settings for senseless.
     pub fn new(config: &Config, log: Logger, clock: Clock) -> Result<Handle, SettingsError> {
         let (now, limits) = (clock.now(), &config.settings.limits);
-        let exchanges = Exchanges::with_places_of(&config.settings);
+        let exchanges = Exchanges::with_nodes_of(&config.settings);
         let controller = Controller::new(config.settings.clone(), config.seed, now)?;
         let platform = Rc::new_cyclic(|me| {
             RefCell::new(Self {
