--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -95,7 +95,7 @@
             "class" => offer.class, "left_ms" => offer.remaining.as_millis(), "transit" => offer.is_transit);
         self.invites.insert(id.clone(), Invite { client, echoed_headers: echoed });
         self.clients.begin_request(client, id);
-        let request = Request { origin: Origin(client), offer, description: description.into() };
+        let request = Request { origin: Origin(client), offered: offer, description: description.into() };
         match dest {
             Some(_) => self.core.handle_request(now, request),
             None => self.resolve_destination(now, request),
@@ -172,21 +172,21 @@
         let (Some((front, share)), Some(platform)) = (self.look_up.clone(), self.weak_self.upgrade()) else {
             return;
         };
-        let deadline = now + request.offer.remaining;
-        let time_limit = request.offer.remaining.mul_f64(share);
+        let deadline = now + request.offered.remaining;
+        let time_limit = request.offered.remaining.mul_f64(share);
         tokio::task::spawn_local(async move {
             let resolved =
-                enumeration::resolve(front, request.offer.called_number.to_string(), time_limit).await;
+                enumeration::resolve(front, request.offered.called_number.to_string(), time_limit).await;
             let mut platform = platform.borrow_mut();
-            let id = request.offer.call.clone();
+            let id = request.offered.call.clone();
             if !platform.invites.contains_key(&id) {
                 return; // the request has been answered or withdrawn
             }
             let now = platform.clock.now();
             match resolved {
                 Resolution::RouteTo(place) => {
-                    request.offer.destination = place;
-                    request.offer.remaining = deadline.saturating_sub(now);
+                    request.offered.destination = place;
+                    request.offered.remaining = deadline.saturating_sub(now);
                     platform.core.handle_request(now, request);
                 }
                 Resolution::NotFound => platform.answer_unrouted(&id, 404),
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -27,17 +27,22 @@
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
                 self.metrics.count_attempt_outcome("stands");
                 let description = line.blob.as_deref().unwrap_or_default().into();
-                self.core.handle_reply(now, exchange, &id, Reply::Stands(description));
+                self.core.handle_reply(now, exchange, &id, Reply::Established(description));
             }
             "FINISH" => {
-                let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
+                let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.is_established);
                 let status = release_status(line.cause, was_established);
                 let cause = line.note.as_deref().and_then(failure_cause);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0,
                     "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?line.cause,
                     "note" => line.note.as_deref().unwrap_or(""));
                 self.metrics.count_attempt_outcome(outcome_label(status));
-                self.core.handle_reply(now, exchange, &id, Reply::Ended { status, cause, report });
+                self.core.handle_reply(
+                    now,
+                    exchange,
+                    &id,
+                    Reply::Ended { status, failure_cause: cause, load_report: report },
+                );
                 if was_established {
                     self.send_to_exchange(exchange, connection, &jsonl::reply("FINISHED", &id.0, None));
                 }
@@ -76,7 +81,7 @@
     pub(super) fn connect_if_needed(&mut self, exchange: &ExchangeId) {
         let (now, id) = (self.clock.now(), ConnectionId(self.next_connection_id()));
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        let is_idle_with_calls = pool.is_idle(now) && self.core.stands_at(exchange);
+        let is_idle_with_calls = pool.is_idle(now) && self.core.has_established_call_at(exchange);
         if is_idle_with_calls && pool.is_out_of_reach(now) {
             warn!(self.log, "exchange out of reach, releasing its calls"; "exchange_id" => &*exchange.0);
             self.core.reset_calls_at(now, exchange);
@@ -165,11 +170,11 @@
         may_have_run: bool,
     ) {
         let status = ExchangePool::status_after_loss(may_have_run);
-        if self.core.calls.open.get(id).is_some_and(|c| !c.stands) {
+        if self.core.calls.open.get(id).is_some_and(|c| !c.is_established) {
             debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0,
                 "exchange_id" => &*exchange.0, "status" => ?status);
             self.metrics.count_attempt_outcome(outcome_label(status));
-            let reply = Reply::Ended { status, cause: None, report: Vec::new() };
+            let reply = Reply::Ended { status, failure_cause: None, load_report: Vec::new() };
             self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
     }
