--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -1,4 +1,4 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and validates the configuration file and supplies defaults. No other module reads configuration.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -11,110 +11,122 @@
 use crate::protocol::dns::Name;
 use crate::protocol::vrrp;
 
-/// What is wrong with a configuration, and at which key.
+/// Error in a configuration, with the key at which it was found.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
     key: String,
-    why: String,
+    reason: String,
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "configuration: {}: {}", self.key, self.why)
+        write!(f, "configuration: {}: {}", self.key, self.reason)
     }
 }
 
 impl std::error::Error for ConfigError {}
 
-type Read<T> = Result<T, ConfigError>;
+/// Connect time-out if the configuration gives none or zero.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A value and the path that leads to it.
-struct Node<'a> {
+type ConfigResult<T> = Result<T, ConfigError>;
+
+/// A value of the configuration and its path, such as `enum.listen`.
+struct ConfigNode<'a> {
     path: String,
     value: Option<&'a JsonValue>,
 }
 
-impl<'a> Node<'a> {
-    fn wrong<T>(&self, why: &str) -> Read<T> {
-        Err(ConfigError { key: self.path.clone(), why: why.to_owned() })
+impl<'a> ConfigNode<'a> {
+    /// Returns an error for this value.
+    fn invalid<T>(&self, reason: &str) -> ConfigResult<T> {
+        Err(ConfigError { key: self.path.clone(), reason: reason.to_owned() })
     }
 
-    fn get(&self, key: &str) -> Node<'a> {
+    /// Returns the value of a key. A key that is missing or null yields a node without a value.
+    fn get(&self, key: &str) -> ConfigNode<'a> {
         let path = if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) };
         let fields = self.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
         let value = fields.and_then(|f| f.get(key)).filter(|v| !v.is_null());
-        Node { path, value }
+        ConfigNode { path, value }
     }
 
-    fn items(&self) -> Read<Vec<Node<'a>>> {
+    /// Returns the items of a list; none if the value is missing.
+    fn items(&self) -> ConfigResult<Vec<ConfigNode<'a>>> {
         let Some(value) = self.value else { return Ok(Vec::new()) };
-        let Some(items) = value.get::<Vec<JsonValue>>() else { return self.wrong("must be a list") };
-        let item = |(i, v): (usize, &'a JsonValue)| Node {
+        let Some(items) = value.get::<Vec<JsonValue>>() else { return self.invalid("must be a list") };
+        let item = |(i, v): (usize, &'a JsonValue)| ConfigNode {
             path: format!("{}[{i}]", self.path),
             value: Some(v).filter(|v| !v.is_null()),
         };
         Ok(items.iter().enumerate().map(item).collect())
     }
 
-    fn number_if(&self) -> Read<Option<f64>> {
+    fn optional_number(&self) -> ConfigResult<Option<f64>> {
         let Some(value) = self.value else { return Ok(None) };
         match value.get::<f64>() {
             Some(n) if n.is_finite() => Ok(Some(*n)),
-            _ => self.wrong("must be a number"),
+            _ => self.invalid("must be a number"),
         }
     }
 
-    fn number(&self, default: f64) -> Read<f64> {
-        Ok(self.number_if()?.unwrap_or(default))
+    /// Returns the number, or `default` if the value is missing.
+    fn number(&self, default: f64) -> ConfigResult<f64> {
+        Ok(self.optional_number()?.unwrap_or(default))
     }
 
-    fn whole(&self, default: u64) -> Read<u64> {
-        match self.number_if()? {
+    /// Returns the whole number, or `default` if the value is missing.
+    fn whole_number(&self, default: u64) -> ConfigResult<u64> {
+        match self.optional_number()? {
             None => Ok(default),
             Some(n) if n >= 0.0 && n.fract() == 0.0 => Ok(n as u64),
-            Some(_) => self.wrong("must be a whole number, 0 or more"),
+            Some(_) => self.invalid("must be a whole number, 0 or more"),
         }
     }
 
-    fn small(&self, default: u32) -> Read<u32> {
-        u32::try_from(self.whole(u64::from(default))?).or_else(|_| self.wrong("is too large"))
+    /// Returns the whole number as `u32`, or `default` if the value is missing.
+    fn whole_u32(&self, default: u32) -> ConfigResult<u32> {
+        u32::try_from(self.whole_number(u64::from(default))?).or_else(|_| self.invalid("is too large"))
     }
 
-    fn nanos(&self) -> Read<Duration> {
-        Ok(Duration::from_nanos(self.whole(0)?))
+    /// Returns the duration given in nanoseconds, or zero if the value is missing.
+    fn duration_ns(&self) -> ConfigResult<Duration> {
+        Ok(Duration::from_nanos(self.whole_number(0)?))
     }
 
-    fn flag(&self, default: bool) -> Read<bool> {
+    /// Returns the boolean, or `default` if the value is missing.
+    fn boolean(&self, default: bool) -> ConfigResult<bool> {
         match self.value.map(|v| v.get::<bool>()) {
             None => Ok(default),
             Some(Some(flag)) => Ok(*flag),
-            Some(None) => self.wrong("must be true or false"),
+            Some(None) => self.invalid("must be true or false"),
         }
     }
 
-    fn text_if(&self) -> Read<Option<&'a str>> {
+    fn optional_text(&self) -> ConfigResult<Option<&'a str>> {
         match self.value.map(|v| v.get::<String>()) {
             None => Ok(None),
             Some(Some(text)) => Ok(Some(text)),
-            Some(None) => self.wrong("must be a text"),
+            Some(None) => self.invalid("must be a string"),
         }
     }
 
-    fn text(&self) -> Read<&'a str> {
-        match self.text_if()? {
+    /// Returns the text, which must be present and not empty.
+    fn text(&self) -> ConfigResult<&'a str> {
+        match self.optional_text()? {
             Some(text) if !text.is_empty() => Ok(text),
-            _ => self.wrong("is missing"),
+            _ => self.invalid("is missing"),
         }
     }
 
-    fn address(&self) -> Read<SocketAddr> {
+    fn address(&self) -> ConfigResult<SocketAddr> {
         match self.text()?.parse() {
             Ok(address) => Ok(address),
-            Err(_) => self.wrong("must be an address and a port, as 127.0.0.1:5060"),
+            Err(_) => self.invalid("must be an address and a port, such as 127.0.0.1:5060"),
         }
     }
 
-    fn address_if(&self) -> Read<Option<SocketAddr>> {
+    fn optional_address(&self) -> ConfigResult<Option<SocketAddr>> {
         if self.value.is_none() {
             return Ok(None);
         }
@@ -122,255 +134,266 @@
     }
 }
 
-/// One line of the list with the address that belongs to it.
+/// An exchange of the directory with its address.
 #[derive(Debug, Clone)]
 pub struct ListedExchange {
-    /// What the decision module is told.
+    /// Directory entry, as passed to the decision module.
     pub entry: DirectoryEntry,
-    /// Where the exchange listens.
+    /// Address on which the exchange accepts connections.
     pub address: SocketAddr,
 }
 
-/// An event of the list.
+/// An update of the list of exchanges.
 #[derive(Debug, Clone)]
 pub struct ListUpdate {
-    /// The whole list, not changes only.
+    /// Whether the update holds the full list, rather than changes to it.
     pub is_full_list: bool,
-    /// Its lines.
+    /// The exchanges that the update reports.
     pub exchanges: Vec<ListedExchange>,
 }
 
-/// The ENUM front, where an operator's file sets it up.
+/// Configuration of the ENUM front (key `enum`).
 #[derive(Debug, Clone)]
 pub struct EnumConfig {
-    /// Where queries arrive; `None`: numbers are looked up for calls only.
+    /// Address on which resolvers' queries are received; `None` if numbers are looked up for calls only.
     pub listen: Option<SocketAddr>,
-    /// The zone that numbers stand under.
+    /// Zone of the numbers.
     pub zone: Name,
-    /// Upstream DNS servers, the first choice first.
+    /// Upstream DNS servers, in order of preference.
     pub upstreams: Vec<SocketAddr>,
-    /// A query to an upstream is given up after this.
+    /// Time after which a query to an upstream server is given up.
     pub query_timeout: Duration,
-    /// A resolver gets its answer within this.
+    /// Time within which a resolver is answered.
     pub answer_within: Duration,
-    /// Share of a call's time that its look-up may take.
+    /// Share of a call's remaining time that its look-up may take, between 0 and 1.
     pub look_up_share: f64,
-    /// Look-ups in hand at most; the last quarter is kept for calls.
+    /// Maximum number of pending look-ups; the last quarter is reserved for calls.
     pub max_look_ups: usize,
-    /// Queries out to one upstream at most.
+    /// Maximum number of pending queries to one upstream server.
     pub window_per_upstream: usize,
-    /// Hosts of SIP addresses, and the places that they stand for.
+    /// Node that serves each host of a SIP URI; hosts are in lower case.
     pub routes: HashMap<String, NodeNumber>,
-    /// What the front's decision module is told.
+    /// Settings of the front's own decision module.
     pub settings: Settings,
 }
 
-/// The virtual router, where an operator's file sets it up.
+/// Configuration of the virtual router (key `vrrp`).
 #[derive(Debug, Clone)]
 pub struct VrrpConfig {
-    /// Where advertisements arrive.
+    /// Address on which advertisements are received.
     pub listen: SocketAddr,
-    /// Where the other routers take them.
+    /// Addresses of the other routers, to which advertisements are sent.
     pub peers: Vec<SocketAddr>,
-    /// The virtual router.
+    /// Parameters of the protocol.
     pub router: vrrp::Config,
 }
 
-/// Everything the program is told.
+/// The configuration of the program.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of this router.
     pub name: String,
-    /// Where callers connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// File descriptors it may hold.
+    /// Maximum number of open file descriptors.
     pub max_sockets: usize,
-    /// Where datagrams of other routers arrive.
+    /// Address on which datagrams of other routers are received.
     pub peer_listen: Option<SocketAddr>,
-    /// Addresses of the routers, by their numbers.
+    /// Addresses of all routers, indexed by router number.
     pub peers: Vec<SocketAddr>,
-    /// Address for all routers at once.
+    /// Address that reaches all routers at once.
     pub peers_all: Option<SocketAddr>,
-    /// Where the coordinator listens.
+    /// Address of the coordinator.
     pub coordinator: Option<SocketAddr>,
-    /// Number of the last event in `known`.
+    /// Number of the last event contained in `known_updates`.
     pub last_known_event: u64,
-    /// The events of the start.
+    /// Updates of the list of exchanges that are known at the start.
     pub known_updates: Vec<ListUpdate>,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of the classes, by their number.
+    /// Names of the classes, indexed by class number.
     pub class_names: Vec<String>,
-    /// Names of the figures in a load report, by their place.
+    /// Names of the figures in a load report, in the order of the report.
     pub gauge_names: Vec<String>,
-    /// A connection must be up within this.
+    /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// The ENUM front; off unless set up.
+    /// ENUM front; `None` if it is not configured.
     pub enum_front: Option<EnumConfig>,
-    /// The virtual router; off unless set up.
+    /// Virtual router; `None` if it is not configured.
     pub vrrp: Option<VrrpConfig>,
-    /// Commands are taken from the terminal.
+    /// Whether commands are read from standard input.
     pub has_console: bool,
 }
 
 impl Config {
-    /// Reads a configuration, as of `LB_CONFIG`.
+    /// Parses the text of a configuration file.
     ///
     /// # Errors
-    /// Names the key that is missing or makes no sense.
-    pub fn parse(text: &str) -> Read<Self> {
-        let top = |why: String| ConfigError { key: "file".to_owned(), why };
-        let root: JsonValue = text.parse().map_err(|e: tinyjson::JsonParseError| top(e.to_string()))?;
+    /// Names the key that is missing or has an invalid value.
+    pub fn parse(text: &str) -> ConfigResult<Self> {
+        let file_error = |reason: String| ConfigError { key: "file".to_owned(), reason };
+        let root: JsonValue =
+            text.parse().map_err(|e: tinyjson::JsonParseError| file_error(e.to_string()))?;
         if root.get::<HashMap<String, JsonValue>>().is_none() {
-            return Err(top("must be an object".to_owned()));
+            return Err(file_error("must be an object".to_owned()));
         }
-        let root = Node { path: String::new(), value: Some(&root) };
+        let root = ConfigNode { path: String::new(), value: Some(&root) };
         let settings = root.get("settings");
-        let names = |list: Node<'_>, key: &str| -> Read<Vec<String>> {
+        let names_at = |list: ConfigNode<'_>, key: &str| -> ConfigResult<Vec<String>> {
             list.items()?
                 .iter()
-                .map(|n| n.get(key).text_if().map(|t| t.unwrap_or_default().to_owned()))
+                .map(|n| n.get(key).optional_text().map(|t| t.unwrap_or_default().to_owned()))
                 .collect()
         };
-        let plain = |list: Node<'_>| -> Read<Vec<String>> {
+        let texts = |list: ConfigNode<'_>| -> ConfigResult<Vec<String>> {
             list.items()?.iter().map(|n| n.text().map(str::to_owned)).collect()
         };
-        let zones = plain(settings.get("Dcs"))?;
+        let zones = texts(settings.get("Dcs"))?;
         let known = root.get("known");
         let seed = root.get("seed");
-        let seed = match seed.text_if()? {
+        let seed = match seed.optional_text()? {
             None => 0,
-            Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| seed.wrong("must be 16 hex digits"))?,
+            Some(hex) => u64::from_str_radix(hex, 16).or_else(|_| seed.invalid("must be 16 hex digits"))?,
         };
-        let limit = settings.get("PolicyLimits").get("ConnectTimeoutNs").nanos()?;
+        let connect_timeout = settings.get("PolicyLimits").get("ConnectTimeoutNs").duration_ns()?;
         Ok(Self {
-            name: root.get("name").text_if()?.unwrap_or("router").to_owned(),
+            name: root.get("name").optional_text()?.unwrap_or("router").to_owned(),
             listen: root.get("listen").address()?,
             seed,
-            max_sockets: root.get("limits").get("sockets").whole(1024)? as usize,
-            peer_listen: root.get("peer_listen").address_if()?,
-            peers: root.get("peers").items()?.iter().map(Node::address).collect::<Read<_>>()?,
-            peers_all: root.get("peers_all").address_if()?,
-            coordinator: root.get("coordinator").address_if()?,
-            last_known_event: known.get("index").whole(0)?,
+            max_sockets: root.get("limits").get("sockets").whole_number(1024)? as usize,
+            peer_listen: root.get("peer_listen").optional_address()?,
+            peers: root.get("peers").items()?.iter().map(ConfigNode::address).collect::<ConfigResult<_>>()?,
+            peers_all: root.get("peers_all").optional_address()?,
+            coordinator: root.get("coordinator").optional_address()?,
+            last_known_event: known.get("index").whole_number(0)?,
             known_updates: known
                 .get("updates")
                 .items()?
                 .iter()
-                .map(|u| update(u, &zones))
-                .collect::<Read<_>>()?,
-            class_names: names(settings.get("Classes"), "Name")?,
-            gauge_names: plain(settings.get("Stats").get("Names"))?,
-            connect_timeout: if limit.is_zero() { Duration::from_millis(500) } else { limit },
+                .map(|u| read_update(u, &zones))
+                .collect::<ConfigResult<_>>()?,
+            class_names: names_at(settings.get("Classes"), "Name")?,
+            gauge_names: texts(settings.get("Stats").get("Names"))?,
+            connect_timeout: if connect_timeout.is_zero() {
+                DEFAULT_CONNECT_TIMEOUT
+            } else {
+                connect_timeout
+            },
             settings: read_settings(&settings)?,
             enum_front: read_enum(&root.get("enum"))?,
-            vrrp: virtual_router(&root.get("vrrp"))?,
-            has_console: root.get("console").flag(false)?,
+            vrrp: read_vrrp(&root.get("vrrp"))?,
+            has_console: root.get("console").boolean(false)?,
         })
     }
 }
 
 impl Config {
-    /// Keys that differ in `new` and that a running program can't take up.
+    /// Returns the keys that differ in `new` and take effect only after a restart.
     pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
-        let front = |c: &Self| c.enum_front.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
-        let group = |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.router.vrid, v.router.addresses.clone()));
-        let names = |c: &Self| (c.class_names.clone(), c.gauge_names.clone(), format!("{:?}", c.settings));
+        let enum_front = |c: &Self| c.enum_front.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
+        let virtual_router =
+            |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.router.vrid, v.router.addresses.clone()));
+        let settings = |c: &Self| (c.class_names.clone(), c.gauge_names.clone(), format!("{:?}", c.settings));
         let changed = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("peer_listen", self.peer_listen != new.peer_listen),
-            ("settings", names(self) != names(new)),
+            ("settings", settings(self) != settings(new)),
             ("console", self.has_console != new.has_console),
-            ("enum.listen/query_timeout_ms/guard_ms/attempts", front(self) != front(new)),
-            ("vrrp.listen/vrid/addresses", group(self) != group(new)),
+            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front(self) != enum_front(new)),
+            ("vrrp.listen/vrid/addresses", virtual_router(self) != virtual_router(new)),
         ];
         changed.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
     }
 }
 
-fn millis(node: &Node<'_>, default: u64) -> Read<Duration> {
-    match node.whole(default)? {
-        0 => node.wrong("must be more than 0"),
+/// Reads a duration in milliseconds, which must not be zero.
+fn read_millis(node: &ConfigNode<'_>, default: u64) -> ConfigResult<Duration> {
+    match node.whole_number(default)? {
+        0 => node.invalid("must be more than 0"),
         ms => Ok(Duration::from_millis(ms)),
     }
 }
 
-/// A whole number within bounds.
-fn bounded(node: &Node<'_>, default: u64, least: u64, most: u64) -> Read<u64> {
-    let n = node.whole(default)?;
-    if (least..=most).contains(&n) {
+/// Reads a whole number from `min` to `max`.
+fn read_bounded(node: &ConfigNode<'_>, default: u64, min: u64, max: u64) -> ConfigResult<u64> {
+    let n = node.whole_number(default)?;
+    if (min..=max).contains(&n) {
         return Ok(n);
     }
-    node.wrong(&format!("must be from {least} to {most}"))
+    node.invalid(&format!("must be from {min} to {max}"))
 }
 
-fn addresses(node: &Node<'_>) -> Read<Vec<SocketAddr>> {
-    let list: Vec<SocketAddr> = node.items()?.iter().map(Node::address).collect::<Read<_>>()?;
+/// Reads a list of addresses, which must not be empty.
+fn read_addresses(node: &ConfigNode<'_>) -> ConfigResult<Vec<SocketAddr>> {
+    let list: Vec<SocketAddr> = node.items()?.iter().map(ConfigNode::address).collect::<ConfigResult<_>>()?;
     if list.is_empty() {
-        return node.wrong("must name an address");
+        return node.invalid("must name an address");
     }
     Ok(list)
 }
 
-fn read_enum(root: &Node<'_>) -> Read<Option<EnumConfig>> {
+fn read_enum(root: &ConfigNode<'_>) -> ConfigResult<Option<EnumConfig>> {
     if root.value.is_none() {
         return Ok(None);
     }
     let zone = root.get("zone");
-    let Some(name) = Name::parse(zone.text_if()?.unwrap_or("e164.arpa")) else {
-        return zone.wrong("must be a domain name");
+    let Some(name) = Name::parse(zone.optional_text()?.unwrap_or("e164.arpa")) else {
+        return zone.invalid("must be a domain name");
     };
     let share = root.get("share");
-    let part = share.number(0.5)?;
-    if !(part > 0.0 && part < 1.0) {
-        return share.wrong("must lie between 0 and 1");
+    let look_up_share = share.number(0.5)?;
+    if !(look_up_share > 0.0 && look_up_share < 1.0) {
+        return share.invalid("must be between 0 and 1");
     }
     let routes = root.get("routes");
     let mut hosts = HashMap::new();
     for host in
         routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>()).into_iter().flat_map(|m| m.keys())
     {
-        // A host holds dots, so its path can't be walked with `get`.
+        // Built without `get`: a host name contains dots, but is a single key.
         let fields = routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
-        let place = Node { path: format!("enum.routes.{host}"), value: fields.and_then(|f| f.get(host)) };
-        hosts.insert(host.to_ascii_lowercase(), NodeNumber(place.small(0)?));
+        let node =
+            ConfigNode { path: format!("enum.routes.{host}"), value: fields.and_then(|f| f.get(host)) };
+        hosts.insert(host.to_ascii_lowercase(), NodeNumber(node.whole_u32(0)?));
     }
-    let upstreams = addresses(&root.get("upstreams"))?;
-    let window = bounded(&root.get("window"), 64, 1, 256)?;
-    let answer_within = millis(&root.get("answer_within_ms"), 4000)?;
-    let guard = millis(&root.get("guard_ms"), 500)?;
-    let query_timeout = millis(&root.get("query_timeout_ms"), 1500)?;
-    let attempts = bounded(&root.get("attempts"), 4, 1, 16)?;
+    let upstreams = read_addresses(&root.get("upstreams"))?;
+    let window = read_bounded(&root.get("window"), 64, 1, 256)?;
+    let answer_within = read_millis(&root.get("answer_within_ms"), 4000)?;
+    let guard = read_millis(&root.get("guard_ms"), 500)?;
+    let query_timeout = read_millis(&root.get("query_timeout_ms"), 1500)?;
+    let attempts = read_bounded(&root.get("attempts"), 4, 1, 16)?;
     Ok(Some(EnumConfig {
-        listen: root.get("listen").address_if()?,
+        listen: root.get("listen").optional_address()?,
         zone: name,
         query_timeout,
         answer_within,
-        look_up_share: part,
-        max_look_ups: bounded(&root.get("most_look_ups"), 512, 8, 65_536)? as usize,
+        look_up_share,
+        max_look_ups: read_bounded(&root.get("most_look_ups"), 512, 8, 65_536)? as usize,
         window_per_upstream: window as usize,
         routes: hosts,
-        settings: pools(query_timeout, guard, attempts as u32),
+        settings: upstream_settings(query_timeout, guard, attempts as u32),
         upstreams,
     }))
 }
 
-/// The module takes what stands within a fifth of its aim for a sign of ease.
-const EASY_PARTS: u32 = 5;
+/// Target delay as a multiple of the query time-out. The decision module takes an answer within a fifth of the
+/// target delay for a sign of spare capacity; with this multiple, every reply before the time-out is one.
+const TARGET_DELAY_TIMEOUTS: u32 = 5;
 
-/// Settings of a module whose exchanges are DNS servers: pools that every look-up may go to. Look-ups for
-/// calls are worth more than resolvers' queries, so they go first.
+/// Returns the settings of a decision module whose exchanges are DNS servers, that is, pools open to every
+/// look-up. Look-ups for calls have a higher value than resolvers' queries, so they take precedence.
 ///
-/// Any reply that comes before the time-out is as good as another, hence the aim: with the caller's time
-/// for one, a server that is slow and well was held to be pressed, and few look-ups were sent.
-fn pools(query_timeout: Duration, guard: Duration, max_attempts: u32) -> Settings {
-    let aim = EASY_PARTS * query_timeout;
+/// The target delay derives from the query time-out, because every reply that arrives before the time-out is
+/// equally good. With the caller's remaining time as target delay, a slow but healthy server was taken for
+/// overloaded, and few look-ups were sent to it.
+fn upstream_settings(query_timeout: Duration, guard: Duration, max_attempts: u32) -> Settings {
+    let target_delay = TARGET_DELAY_TIMEOUTS * query_timeout;
     let class = |worth| Class {
-        target_delay: aim,
-        deadline: aim,
+        target_delay,
+        deadline: target_delay,
         value: worth,
         late_value_share: 0.5,
         idempotency: Idempotency::Safe,
@@ -398,151 +421,155 @@
     }
 }
 
-fn virtual_router(root: &Node<'_>) -> Read<Option<VrrpConfig>> {
+fn read_vrrp(root: &ConfigNode<'_>) -> ConfigResult<Option<VrrpConfig>> {
     if root.value.is_none() {
         return Ok(None);
     }
     let list = root.get("addresses");
-    let address = |n: &Node<'_>| match n.text()?.parse::<Ipv4Addr>() {
+    let address = |n: &ConfigNode<'_>| match n.text()?.parse::<Ipv4Addr>() {
         Ok(address) => Ok(address),
-        Err(_) => n.wrong("must be an IPv4 address"),
+        Err(_) => n.invalid("must be an IPv4 address"),
     };
-    let addresses_backed: Vec<Ipv4Addr> = list.items()?.iter().map(address).collect::<Read<_>>()?;
-    if !(1..=255).contains(&addresses_backed.len()) {
-        return list.wrong("must name 1 to 255 addresses");
+    let virtual_addresses: Vec<Ipv4Addr> = list.items()?.iter().map(address).collect::<ConfigResult<_>>()?;
+    if !(1..=255).contains(&virtual_addresses.len()) {
+        return list.invalid("must name 1 to 255 addresses");
     }
     Ok(Some(VrrpConfig {
         listen: root.get("listen").address()?,
-        peers: addresses(&root.get("peers"))?,
+        peers: read_addresses(&root.get("peers"))?,
         router: vrrp::Config {
-            vrid: bounded(&root.get("vrid"), 1, 1, 255)? as u8,
-            priority: bounded(&root.get("priority"), 100, 1, 255)? as u8,
-            interval_cs: bounded(&root.get("interval_cs"), 100, 1, 4095)? as u16,
-            preempt: root.get("preempt").flag(true)?,
-            addresses: addresses_backed,
+            vrid: read_bounded(&root.get("vrid"), 1, 1, 255)? as u8,
+            priority: read_bounded(&root.get("priority"), 100, 1, 255)? as u8,
+            interval_cs: read_bounded(&root.get("interval_cs"), 100, 1, 4095)? as u16,
+            preempt: root.get("preempt").boolean(true)?,
+            addresses: virtual_addresses,
         },
     }))
 }
 
-fn update(event: &Node<'_>, zones: &[String]) -> Read<ListUpdate> {
+fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListUpdate> {
     let list = event.get("endpoints");
-    let exchanges = list.get("hosts").items()?.iter().map(|l| listed(l, zones)).collect::<Read<_>>()?;
-    Ok(ListUpdate { is_full_list: list.get("whole").flag(false)?, exchanges })
+    let exchanges =
+        list.get("hosts").items()?.iter().map(|h| read_exchange(h, zones)).collect::<ConfigResult<_>>()?;
+    Ok(ListUpdate { is_full_list: list.get("whole").boolean(false)?, exchanges })
 }
 
-fn listed(line: &Node<'_>, zones: &[String]) -> Read<ListedExchange> {
-    let zone = line.get("site").text_if()?;
-    let state = line.get("health");
+fn read_exchange(host: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListedExchange> {
+    let zone = host.get("site").optional_text()?;
+    let state = host.get("health");
     let health = match state.text()? {
         "active" => Health::Live,
         "leaving" => Health::Draining,
         "left" => Health::Gone,
-        _ => return state.wrong("must be active, leaving or left"),
+        _ => return state.invalid("must be active, leaving or left"),
     };
     let entry = DirectoryEntry {
-        exchange: ExchangeId(line.get("host").text()?.into()),
-        node: NodeNumber(line.get("block").small(0)?),
+        exchange: ExchangeId(host.get("host").text()?.into()),
+        node: NodeNumber(host.get("block").whole_u32(0)?),
         zone: zone.and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0) as u32,
         health,
-        up_since: Some(line.get("born_ms").whole(0)?).filter(|ms| *ms > 0).map(Duration::from_millis),
+        up_since: Some(host.get("born_ms").whole_number(0)?).filter(|ms| *ms > 0).map(Duration::from_millis),
     };
-    Ok(ListedExchange { entry, address: line.get("dial").address()? })
+    Ok(ListedExchange { entry, address: host.get("dial").address()? })
 }
 
-/// The decision module's settings, as the simulator's first message names them.
-fn read_settings(root: &Node<'_>) -> Read<Settings> {
+/// Reads the settings of the decision module. The keys are those of the first message of the simulator.
+fn read_settings(root: &ConfigNode<'_>) -> ConfigResult<Settings> {
     let (domain, contract, limits) = (root.get("Domain"), root.get("Contract"), root.get("PolicyLimits"));
-    let prices = root.get("Penalties");
-    let own = domain.get("OwnNumber").number_if()?.filter(|n| *n >= 0.0).map(|n| NodeNumber(n as u32));
-    let shape = domain.get("Topology");
-    let topology = match (shape.text_if()?, own) {
+    let penalties = root.get("Penalties");
+    let own_node =
+        domain.get("OwnNumber").optional_number()?.filter(|n| *n >= 0.0).map(|n| NodeNumber(n as u32));
+    let topology_node = domain.get("Topology");
+    let topology = match (topology_node.optional_text()?, own_node) {
         (Some("groups"), _) | (None, None) => Topology::Pools,
         (Some("meshed") | None, Some(own)) => Topology::Meshed(own),
-        (Some("meshed"), None) => return domain.get("OwnNumber").wrong("is missing"),
-        (Some(_), _) => return shape.wrong("must be meshed or groups"),
+        (Some("meshed"), None) => return domain.get("OwnNumber").invalid("is missing"),
+        (Some(_), _) => return topology_node.invalid("must be meshed or groups"),
     };
     let classes = root.get("Classes").items()?;
     if classes.is_empty() {
-        return root.get("Classes").wrong("must name a class");
+        return root.get("Classes").invalid("must name a class");
     }
     let widths = domain.get("ChannelsNeeded").items()?;
     let holds = domain.get("ClassHoldNs").items()?;
     let pools = domain.get("SkilledPools").items()?;
     let classes = classes.iter().enumerate().map(|(i, class)| {
         Ok(Class {
-            target_delay: class.get("AimNs").nanos()?,
-            deadline: class.get("DeadlineNs").nanos()?,
+            target_delay: class.get("AimNs").duration_ns()?,
+            deadline: class.get("DeadlineNs").duration_ns()?,
             value: class.get("Worth").number(0.0)?,
             late_value_share: class.get("LateShare").number(0.0)?,
-            idempotency: effect(class)?,
-            circuits: widths.get(i).map_or(Ok(1), |w| w.small(1))?,
-            mean_holding_time: holds.get(i).map_or(Ok(Duration::ZERO), Node::nanos)?,
+            idempotency: read_idempotency(class)?,
+            circuits: widths.get(i).map_or(Ok(1), |w| w.whole_u32(1))?,
+            mean_holding_time: holds.get(i).map_or(Ok(Duration::ZERO), ConfigNode::duration_ns)?,
             pools: match pools.get(i) {
                 None => Vec::new(),
-                Some(list) => {
-                    list.items()?.iter().map(|p| p.small(0).map(NodeNumber)).collect::<Read<_>>()?
-                }
+                Some(list) => list
+                    .items()?
+                    .iter()
+                    .map(|p| p.whole_u32(0).map(NodeNumber))
+                    .collect::<ConfigResult<_>>()?,
             },
         })
     });
     let tenants = root.get("Orgs").items()?;
-    let tenant = |t: &Node<'_>| Ok(Tenant { quota_per_s: t.get("QuotaPerS").number(0.0)? });
+    let tenant = |t: &ConfigNode<'_>| Ok(Tenant { quota_per_s: t.get("QuotaPerS").number(0.0)? });
     Ok(Settings {
-        classes: classes.collect::<Read<_>>()?,
-        tenants: tenants.iter().map(tenant).collect::<Read<_>>()?,
+        classes: classes.collect::<ConfigResult<_>>()?,
+        tenants: tenants.iter().map(tenant).collect::<ConfigResult<_>>()?,
         over_quota_value_share: root.get("OverShareWorth").number(0.0)?,
-        fleet_size: root.get("FleetSize").small(1)?,
-        controller_number: root.get("Me").small(0)?,
+        fleet_size: root.get("FleetSize").whole_u32(1)?,
+        controller_number: root.get("Me").whole_u32(0)?,
         topology,
-        guard_time: domain.get("GuardNs").nanos()?,
-        resend_interval: domain.get("ResendNs").nanos()?,
+        guard_time: domain.get("GuardNs").duration_ns()?,
+        resend_interval: domain.get("ResendNs").duration_ns()?,
         rules: RuleSettings {
-            drain_grace: contract.get("DrainGraceNs").nanos()?,
+            drain_grace: contract.get("DrainGraceNs").duration_ns()?,
             cold_capacity_share: contract.get("ColdFrom").number(0.0)?,
-            warm_up_time: contract.get("ColdNs").nanos()?,
+            warm_up_time: contract.get("ColdNs").duration_ns()?,
             overload_multiple: contract.get("FallMultiple").number(0.0)?,
-            overload_window: contract.get("FallNs").nanos()?,
-            max_poll_interval: contract.get("AskWithinNs").nanos()?,
+            overload_window: contract.get("FallNs").duration_ns()?,
+            max_poll_interval: contract.get("AskWithinNs").duration_ns()?,
         },
         limits: PolicyLimits {
-            max_attempts: limits.get("MaxAttempts").small(1)?,
-            cancel_allowed: limits.get("Cancelling").flag(false)?,
-            probes_allowed: limits.get("Probes").flag(false)?,
-            peer_messages_allowed: limits.get("Peers").flag(false)?,
-            retry_after_allowed: limits.get("RetryAfter").flag(false)?,
-            max_retry_after: limits.get("MaxRetryAfterNs").nanos()?,
+            max_attempts: limits.get("MaxAttempts").whole_u32(1)?,
+            cancel_allowed: limits.get("Cancelling").boolean(false)?,
+            probes_allowed: limits.get("Probes").boolean(false)?,
+            peer_messages_allowed: limits.get("Peers").boolean(false)?,
+            retry_after_allowed: limits.get("RetryAfter").boolean(false)?,
+            max_retry_after: limits.get("MaxRetryAfterNs").duration_ns()?,
         },
-        gauges: gauges(&root.get("Stats").get("Names"))?,
+        gauges: read_gauges(&root.get("Stats").get("Names"))?,
         penalties: Penalties {
-            late_failure: prices.get("LateFail").number(0.0)?,
-            wasted_work: prices.get("Waste").number(0.0)?,
-            probe: prices.get("Probe").number(0.0)?,
-            peer_message: prices.get("Peer").number(0.0)?,
+            late_failure: penalties.get("LateFail").number(0.0)?,
+            wasted_work: penalties.get("Waste").number(0.0)?,
+            probe: penalties.get("Probe").number(0.0)?,
+            peer_message: penalties.get("Peer").number(0.0)?,
         },
-        directory_polled: root.get("RegistryMode").text_if()? == Some("ask"),
-        redials_flagged: root.get("Clients").get("MarksRetry").flag(false)?,
-        has_route_advice: domain.get("Advice").flag(false)?,
-        tick: root.get("TickNs").nanos()?,
+        directory_polled: root.get("RegistryMode").optional_text()? == Some("ask"),
+        redials_flagged: root.get("Clients").get("MarksRetry").boolean(false)?,
+        has_route_advice: domain.get("Advice").boolean(false)?,
+        tick: root.get("TickNs").duration_ns()?,
     })
 }
 
-fn effect(class: &Node<'_>) -> Read<Idempotency> {
-    Ok(match class.get("Effect").text_if()? {
+fn read_idempotency(class: &ConfigNode<'_>) -> ConfigResult<Idempotency> {
+    Ok(match class.get("Effect").optional_text()? {
         None | Some("safe") => Idempotency::Safe,
         Some("unsafe") => Idempotency::Unsafe,
         Some("keyed") => {
-            let scope = match class.get("DedupScope").text_if()? {
+            let scope = match class.get("DedupScope").optional_text()? {
                 Some("all") => DedupScope::All,
                 Some("zone") => DedupScope::Zone,
                 _ => DedupScope::Node,
             };
-            Idempotency::Keyed(scope, class.get("WindowNs").nanos()?)
+            Idempotency::Keyed(scope, class.get("WindowNs").duration_ns()?)
         }
-        Some(_) => return class.get("Effect").wrong("must be safe, keyed or unsafe"),
+        Some(_) => return class.get("Effect").invalid("must be safe, keyed or unsafe"),
     })
 }
 
-fn gauges(names: &Node<'_>) -> Read<Vec<Gauge>> {
+fn read_gauges(names: &ConfigNode<'_>) -> ConfigResult<Vec<Gauge>> {
     let gauge = |name: &str| match name {
         "spare" | "x0" => Gauge::FreeCircuits,
         "total" | "x1" => Gauge::TotalCircuits,
