--- a/example/toy.rs
+++ b/example/toy.rs
@@ -1,7 +1,7 @@
-//! A toy booking exchange and a toy caller, to try the router with `example/config.json`.
+//! A minimal booking exchange and a minimal client, for trying out the router with `example/config.json`.
 //!
 //! `toy exchange ADDRESS` answers every set-up and releases each call after three seconds;
-//! `toy call ADDRESS NUMBER` places one call through the router and shows what it hears.
+//! `toy call ADDRESS NUMBER` places one call through the router and prints the messages that it receives.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -11,19 +11,19 @@
 use serde_json::{json, Value};
 
 fn main() -> io::Result<()> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["exchange", address] => exchange(address),
-        ["call", address, number] => call(address, number),
-        _ => Err(io::Error::other("toy exchange ADDRESS, or toy call ADDRESS NUMBER")),
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    match arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+        ["exchange", address] => run_exchange(address),
+        ["call", address, number] => place_call(address, number),
+        _ => Err(io::Error::other("usage: toy exchange ADDRESS, or toy call ADDRESS NUMBER")),
     }
 }
 
-fn exchange(address: &str) -> io::Result<()> {
+fn run_exchange(address: &str) -> io::Result<()> {
     for stream in TcpListener::bind(address)?.incoming() {
         let stream = stream?;
         thread::spawn(move || {
-            if let Err(e) = serve(&stream) {
+            if let Err(e) = serve_connection(&stream) {
                 println!("connection ended: {e}");
             }
         });
@@ -31,8 +31,8 @@
     Ok(())
 }
 
-/// The group's state first of all, then an answer to each set-up.
-fn serve(mut stream: &TcpStream) -> io::Result<()> {
+/// Sends the state of the trunk group, then answers each set-up and releases its call after three seconds.
+fn serve_connection(mut stream: &TcpStream) -> io::Result<()> {
     writeln!(
         stream,
         "{}",
@@ -48,22 +48,23 @@
         let tag = message["tag"].clone();
         let answer = json!({"verb": "STARTED", "tag": tag, "opts": {}, "blob": "the toy's description\r\n"});
         writeln!(stream, "{answer}")?;
-        let mut later = stream.try_clone()?;
+        let mut releasing_stream = stream.try_clone()?;
         thread::spawn(move || {
             thread::sleep(Duration::from_secs(3));
-            let _ = writeln!(later, "{}", json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": 16}));
+            let _ =
+                writeln!(releasing_stream, "{}", json!({"verb": "FINISH", "tag": tag, "opts": {}, "rc": 16}));
         });
     }
     Ok(())
 }
 
-fn call(address: &str, number: &str) -> io::Result<()> {
+fn place_call(address: &str, number: &str) -> io::Result<()> {
     let mut stream = TcpStream::connect(address)?;
     let body = "the caller's description\r\n";
-    let id = format!("{:016x}", std::process::id());
+    let call_id = format!("{:016x}", std::process::id());
     write!(
         stream,
-        "INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP toy\r\nCall-ID: {id}\r\nCSeq: 1 INVITE\r\n\
+        "INVITE sip:{number}@net SIP/2.0\r\nVia: SIP/2.0/TCP toy\r\nCall-ID: {call_id}\r\nCSeq: 1 INVITE\r\n\
          X-Call-Class: slot-check\r\nX-Ring-Limit: 3000\r\nX-Dest: dest:1;width:1;via:-1\r\n\
          Content-Length: {}\r\n\r\n{body}",
         body.len()
