--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -379,8 +379,8 @@
     }))
 }
 
-/// Target delay as a multiple of the query time-out. The decision module takes an answer within a fifth of the
-/// target delay for a sign of spare capacity; with this multiple, every reply before the time-out is one.
+/// Target delay as a multiple of the query time-out. The decision module takes an answer within a fifth of
+/// the target delay for a sign of spare capacity; with this multiple, every reply before the time-out is one.
 const TARGET_DELAY_TIMEOUTS: u32 = 5;
 
 /// Returns the settings of a decision module whose exchanges are DNS servers, that is, pools open to every
--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -1,4 +1,4 @@
-//! The operator's console: one command a line on standard input, answers on standard output.
+//! The operator's console: reads one command per line from standard input and prints to standard output.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
@@ -6,57 +6,61 @@
 
 use tokio::sync::mpsc;
 
-use crate::net::{enumeration, platform, standby::Standby};
+use crate::net::{enumeration, platform, standby::VirtualRouter};
 
-/// Longest command line; what is longer is no command.
-const LONGEST: usize = 200;
+/// Maximum length of a command in bytes; the rest of a longer line is ignored.
+const MAX_COMMAND_BYTES: usize = 200;
+/// Maximum number of lines read ahead of the command that runs.
+const MAX_WAITING_LINES: usize = 16;
+/// Maximum number of characters of an unknown command that the error message repeats.
+const MAX_ECHOED_CHARACTERS: usize = 40;
 
-const HELP: &str = "status      what this router is doing\n\
+const HELP: &str = "status      state of this router\n\
 exchanges   the booking exchanges and the connections to them\n\
-calls       calls in hand\n\
-look-ups    ENUM look-ups in hand and the upstream servers\n\
+calls       number of unanswered and of established calls\n\
+look-ups    pending ENUM look-ups and the upstream servers\n\
 vrrp        state of the virtual router\n\
-drain       fail the tests of the callers' front, so that it sends calls elsewhere\n\
-quit        stop in order\n\
+drain       answer OPTIONS with 503, so that clients send their calls to other routers\n\
+quit        shut down, answering open requests first\n\
 metrics     counters since the start, in the OpenMetrics text format\n\
 help        this list\n";
 
-/// What the console looks at.
+/// The parts of the router that the console shows and controls.
 #[derive(Clone)]
-pub struct View {
+pub struct Console {
     /// Name of the router.
     pub name: String,
-    /// The platform's front.
+    /// The call front.
     pub platform: platform::Handle,
-    /// The ENUM front, if there is one.
-    pub front: Option<enumeration::Handle>,
-    /// The virtual router, if there is one.
-    pub standby: Option<Rc<Standby>>,
+    /// The ENUM front, if one is configured.
+    pub enum_front: Option<enumeration::Handle>,
+    /// The virtual router, if one is configured.
+    pub virtual_router: Option<Rc<VirtualRouter>>,
 }
 
-/// What a command leads to.
+/// Result of a command.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Said {
-    /// A text to show.
-    Text(String),
-    /// The router is to stop.
+pub enum CommandResult {
+    /// Text to print.
+    Print(String),
+    /// The router must stop.
     Quit,
 }
 
-impl View {
-    /// Carries out one command.
-    pub fn command(&self, line: &str) -> Said {
+impl Console {
+    /// Executes one command.
+    pub fn execute(&self, line: &str) -> CommandResult {
         let mut text = String::new();
         match line.trim().to_ascii_lowercase().as_str() {
             "" => {}
             "help" => text.push_str(HELP),
-            "quit" => return Said::Quit,
+            "quit" => return CommandResult::Quit,
             "status" => self.status(&mut text),
             "exchanges" => self.exchanges(&mut text),
             "calls" => self.calls(&mut text),
             "look-ups" | "lookups" => self.look_ups(&mut text),
             "vrrp" => {
-                let state = self.standby.as_ref().map(|s| format!("{:?}", s.state()));
+                let state = self.virtual_router.as_ref().map(|s| format!("{:?}", s.state()));
                 let _ = writeln!(text, "vrrp {}", state.as_deref().unwrap_or("off"));
             }
             "metrics" => text.push_str(&self.platform.borrow().metrics.encode()),
@@ -65,11 +69,12 @@
                 text.push_str("draining: tests fail from now on\n");
             }
             other => {
-                let shown: String = other.chars().filter(|c| !c.is_control()).take(40).collect();
-                let _ = writeln!(text, "no command '{shown}'; 'help' lists the commands");
+                let printable: String =
+                    other.chars().filter(|c| !c.is_control()).take(MAX_ECHOED_CHARACTERS).collect();
+                let _ = writeln!(text, "no command '{printable}'; 'help' lists the commands");
             }
         }
-        Said::Text(text)
+        CommandResult::Print(text)
     }
 
     fn status(&self, text: &mut String) {
@@ -77,45 +82,45 @@
         let state = if platform.is_draining() { "draining" } else { "serving" };
         let _ = writeln!(text, "{} {state}", self.name);
         self.calls(text);
-        if let Some(front) = &self.front {
-            let _ = writeln!(text, "look-ups in hand {}", front.borrow().in_hand().0);
+        if let Some(front) = &self.enum_front {
+            let _ = writeln!(text, "look-ups in hand {}", front.borrow().pending_counts().0);
         }
-        if let Some(standby) = &self.standby {
-            let _ = writeln!(text, "vrrp {:?}", standby.state());
+        if let Some(router) = &self.virtual_router {
+            let _ = writeln!(text, "vrrp {:?}", router.state());
         }
     }
 
     fn calls(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        let standing = platform.core.calls.standing();
-        let _ = writeln!(text, "calls unanswered {} standing {standing}", platform.unanswered());
+        let established = platform.core.calls.standing();
+        let _ = writeln!(text, "calls unanswered {} standing {established}", platform.unanswered());
     }
 
     fn exchanges(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        for line in platform.core.exchanges.lines() {
-            let pool = platform.pools().find(|(id, _)| **id == line.exchange).map(|(_, pool)| pool);
-            let (address, open) = pool.map_or((String::new(), 0), |l| (l.address.to_string(), l.open()));
-            let (id, place) = (&line.exchange.0, line.node.0);
-            let _ = writeln!(text, "{id} place {place} {:?} {address} connections {open}", line.health);
+        for entry in platform.core.exchanges.lines() {
+            let pool = platform.pools().find(|(id, _)| **id == entry.exchange).map(|(_, pool)| pool);
+            let (address, open) = pool.map_or((String::new(), 0), |p| (p.address.to_string(), p.open()));
+            let (id, node) = (&entry.exchange.0, entry.node.0);
+            let _ = writeln!(text, "{id} place {node} {:?} {address} connections {open}", entry.health);
         }
     }
 
     fn look_ups(&self, text: &mut String) {
-        let Some(front) = &self.front else { return text.push_str("look-ups off\n") };
+        let Some(front) = &self.enum_front else { return text.push_str("look-ups off\n") };
         let front = front.borrow();
-        let (all, calls) = front.in_hand();
-        let _ = writeln!(text, "look-ups in hand {all} of them for calls {calls}");
-        for (id, out) in front.upstreams() {
-            let _ = writeln!(text, "upstream {} queries out {out}", id.0);
+        let (total, for_calls) = front.pending_counts();
+        let _ = writeln!(text, "look-ups in hand {total} of them for calls {for_calls}");
+        for (id, pending) in front.upstreams() {
+            let _ = writeln!(text, "upstream {} queries out {pending}", id.0);
         }
     }
 }
 
-/// Lines of standard input, read on a thread of their own: a terminal can't be waited for otherwise, and
-/// nothing is shared but the channel. The end of input ends the thread and not the router.
-pub fn lines() -> mpsc::Receiver<String> {
-    let (sender, receiver) = mpsc::channel(16);
+/// Reads lines of standard input on a separate thread, because a terminal offers no asynchronous reads, and
+/// returns the channel through which they arrive. The end of input ends the thread but not the router.
+pub fn read_lines() -> mpsc::Receiver<String> {
+    let (sender, receiver) = mpsc::channel(MAX_WAITING_LINES);
     std::thread::spawn(move || {
         let mut input = std::io::stdin().lock();
         let mut line = Vec::new();
@@ -124,7 +129,8 @@
             match input.read_until(b'\n', &mut line) {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {
-                    let text = String::from_utf8_lossy(&line[..line.len().min(LONGEST)]).into_owned();
+                    let text =
+                        String::from_utf8_lossy(&line[..line.len().min(MAX_COMMAND_BYTES)]).into_owned();
                     if sender.blocking_send(text).is_err() {
                         return;
                     }
@@ -135,16 +141,16 @@
     receiver
 }
 
-/// Serves the console; ends when the operator says `quit`.
-pub async fn serve(view: View, mut lines: mpsc::Receiver<String>) {
+/// Executes commands until the operator enters `quit`.
+pub async fn run(console: Console, mut lines: mpsc::Receiver<String>) {
     while let Some(line) = lines.recv().await {
-        match view.command(&line) {
-            Said::Text(text) => {
+        match console.execute(&line) {
+            CommandResult::Print(text) => {
                 let mut out = std::io::stdout().lock();
-                // A terminal that is gone is no reason to stop.
+                // A closed terminal must not stop the router.
                 let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
             }
-            Said::Quit => return,
+            CommandResult::Quit => return,
         }
     }
     std::future::pending().await
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration, start and stop.
+//! Configuration, start-up, shutdown and the operator's console.
 
 pub mod config;
 pub mod console;
--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -1,4 +1,4 @@
-//! Start and stop.
+//! Start-up, reload and shutdown of the router.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -13,117 +13,120 @@
 use tokio::task::JoinHandle;
 
 use super::config::Config;
-use super::console::{self, View};
+use super::console::{self, Console};
 use crate::net::connection::{self, Clock};
-use crate::net::enumeration::{self, Front};
+use crate::net::enumeration::{self, EnumFront};
 use crate::net::platform::{Handle, Platform};
 use crate::net::sockets;
-use crate::net::standby::{self, Standby};
+use crate::net::standby::{self, VirtualRouter};
 use crate::policy::shutdown::ShutdownSchedule;
-use crate::protocol::vrrp::Router;
+use crate::protocol::vrrp;
 
-/// How often a stopping router looks whether it is done.
+/// Interval at which a stopping router checks whether its work is done.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Any reason for which the program can't start.
-pub type Failure = Box<dyn std::error::Error>;
+/// Any error that prevents the program from starting.
+pub type StartError = Box<dyn std::error::Error>;
 
 /// Reads the configuration file.
 ///
 /// # Errors
-/// When it can't be read or makes no sense; the message names the file or the key.
-pub fn load(path: &Path) -> Result<Config, Failure> {
+/// If the file can't be read or is not valid; the message names the file or the key.
+pub fn load_config(path: &Path) -> Result<Config, StartError> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok(Config::parse(&text)?)
 }
 
-/// Serves until SIGTERM or an interrupt, then ends in order. Needs a `LocalSet` around it.
+/// Runs the router until SIGTERM, SIGINT or the console's `quit`, then shuts it down in order. Must be called
+/// within a `LocalSet`.
 ///
 /// # Errors
-/// When an address can't be used or the settings make no sense.
-pub async fn serve(path: PathBuf, config: Config, log: Logger) -> Result<(), Failure> {
-    // Guards against a reload that is asked for early: unhandled, SIGHUP ends the program.
-    let hang_up = signal(SignalKind::hangup())?;
-    let mut term = signal(SignalKind::terminate())?;
-    let mut interrupt = signal(SignalKind::interrupt())?;
+/// If an address can't be bound or the settings are not valid.
+pub async fn run(path: PathBuf, config: Config, log: Logger) -> Result<(), StartError> {
+    // Installed first: without a handler SIGHUP ends the program, and a reload may be requested at any time.
+    let sighup = signal(SignalKind::hangup())?;
+    let mut sigterm = signal(SignalKind::terminate())?;
+    let mut sigint = signal(SignalKind::interrupt())?;
     let clock = Clock::new();
     let listener =
         connection::listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
     let platform = Platform::new(&config, log.clone(), clock)?;
     tokio::task::spawn_local(sockets::keep_time(platform.clone()));
     tokio::task::spawn_local(sockets::follow(platform.clone()));
-    if let Some(at) = config.peer_listen.filter(|_| config.settings.limits.peer_messages_allowed) {
-        let socket = bind("peer_listen", at).await?;
+    if let Some(address) = config.peer_listen.filter(|_| config.settings.limits.peer_messages_allowed) {
+        let socket = bind_udp("peer_listen", address).await?;
         tokio::task::spawn_local(sockets::hear_peers(platform.clone(), Rc::new(socket)));
     }
-    let active = Rc::new(Cell::new(true));
-    let mut front = None;
-    if let Some(setup) = &config.enum_front {
-        let made = Front::new(setup, config.seed, log.clone(), clock, active.clone())?;
-        tokio::task::spawn_local(enumeration::keep_time(made.clone()));
-        if let Some(at) = setup.listen {
-            let socket = bind("enum.listen", at).await?;
+    let is_active = Rc::new(Cell::new(true));
+    let mut enum_front = None;
+    if let Some(enum_config) = &config.enum_front {
+        let front = EnumFront::new(enum_config, config.seed, log.clone(), clock, is_active.clone())?;
+        tokio::task::spawn_local(enumeration::run_timers(front.clone()));
+        if let Some(address) = enum_config.listen {
+            let socket = bind_udp("enum.listen", address).await?;
             info!(log, "answering look-ups"; "listen" => %socket.local_addr()?);
-            tokio::task::spawn_local(enumeration::answer(made.clone(), socket));
+            tokio::task::spawn_local(enumeration::serve_queries(front.clone(), socket));
         }
-        platform.borrow_mut().set_look_up(made.clone(), setup.look_up_share);
-        front = Some(made);
+        platform.borrow_mut().set_look_up(front.clone(), enum_config.look_up_share);
+        enum_front = Some(front);
     }
-    let mut standby = None;
-    if let Some(setup) = config.vrrp.clone() {
-        let socket = bind("vrrp.listen", setup.listen).await?;
+    let mut virtual_router = None;
+    if let Some(vrrp_config) = config.vrrp.clone() {
+        let socket = bind_udp("vrrp.listen", vrrp_config.listen).await?;
         info!(log, "virtual router"; "listen" => %socket.local_addr()?);
-        let router = Router::new(setup.router, socket.local_addr()?);
-        let made = Standby::new(router, socket, setup.peers, active, clock, log.clone());
-        tokio::task::spawn_local(standby::run(made.clone()));
-        standby = Some(made);
+        let state_machine = vrrp::Router::new(vrrp_config.router, socket.local_addr()?);
+        let router =
+            VirtualRouter::new(state_machine, socket, vrrp_config.peers, is_active, clock, log.clone());
+        tokio::task::spawn_local(standby::run(router.clone()));
+        virtual_router = Some(router);
     }
     info!(log, "started"; "name" => &config.name, "listen" => %listener.local_addr()?);
-    let accepting = Accepting::start(platform.clone(), listener);
-    let view = View { name: config.name.clone(), platform, front, standby };
-    let (platform, front, standby) = (view.platform.clone(), view.front.clone(), view.standby.clone());
-    let console = config.has_console;
-    let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-    tokio::task::spawn_local(reloads(hang_up, path, config, view.clone(), log.clone()));
+    let accept_task = AcceptTask::start(platform.clone(), listener);
+    let console = Console { name: config.name.clone(), platform, enum_front, virtual_router };
+    let (platform, enum_front, virtual_router) =
+        (console.platform.clone(), console.enum_front.clone(), console.virtual_router.clone());
+    let has_console = config.has_console;
+    let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    tokio::task::spawn_local(reload_on_sighup(sighup, path, config, console.clone(), log.clone()));
     let quit = async {
-        match console {
-            true => console::serve(view, console::lines()).await,
+        match has_console {
+            true => console::run(console, console::read_lines()).await,
             false => std::future::pending().await,
         }
     };
     tokio::select! {
-        _ = term.recv() => {}
-        _ = interrupt.recv() => {}
+        _ = sigterm.recv() => {}
+        _ = sigint.recv() => {}
         () = quit => {}
     }
     info!(log, "stopping"; "unanswered" => platform.borrow().unanswered());
     platform.borrow_mut().drain();
-    if let Some(standby) = standby {
-        standby.stop();
+    if let Some(router) = virtual_router {
+        router.stop();
     }
-    let schedule = ShutdownSchedule::new(longest);
-    let begun = tokio::time::Instant::now();
+    let schedule = ShutdownSchedule::new(longest_deadline);
+    let stopping_since = tokio::time::Instant::now();
     tokio::time::sleep(schedule.close_idle_after).await;
-    accepting.stop.notify_one();
-    let _ = accepting.task.await;
+    accept_task.stop.notify_one();
+    let _ = accept_task.task.await;
     info!(log, "listener closed"; "unanswered" => platform.borrow().unanswered());
     let is_done = || {
         platform.borrow_mut().close_idle_clients();
-        let look_ups = front.as_ref().map_or(0, |f| f.borrow().in_hand().0);
+        let look_ups = enum_front.as_ref().map_or(0, |f| f.borrow().pending_counts().0);
         !platform.borrow().has_clients() && look_ups == 0
     };
-    while !is_done() && begun.elapsed() < schedule.give_up_after {
+    while !is_done() && stopping_since.elapsed() < schedule.give_up_after {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
     info!(log, "giving up open requests"; "unanswered" => platform.borrow().unanswered());
-    if let Some(front) = &front {
-        front.borrow_mut().finish();
+    if let Some(front) = &enum_front {
+        front.borrow_mut().give_up_all();
     }
     platform.borrow_mut().stop();
-    while platform.borrow().has_clients() && begun.elapsed() < schedule.exit_after {
+    while platform.borrow().has_clients() && stopping_since.elapsed() < schedule.exit_after {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    // Answers of the ENUM front and releases at exchanges are written by their own tasks.
+    // Lets other tasks write the answers of the ENUM front and the releases at exchanges.
     tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     for line in platform.borrow().metrics.encode().lines().filter(|line| !line.starts_with('#')) {
         info!(log, "counter at stop"; "series" => line);
@@ -132,43 +135,49 @@
     Ok(())
 }
 
-/// Reads the configuration anew at each SIGHUP. The file is read and checked on a thread of its own, so that
-/// calls go on meanwhile; a faulty one changes nothing.
-async fn reloads(mut asked: Signal, path: PathBuf, mut held: Config, parts: View, log: Logger) {
-    while asked.recv().await.is_some() {
+/// Reads the configuration again on each SIGHUP. The file is read and validated on a separate thread, so that
+/// calls are not delayed; an invalid file changes nothing.
+async fn reload_on_sighup(
+    mut sighup: Signal,
+    path: PathBuf,
+    mut current: Config,
+    parts: Console,
+    log: Logger,
+) {
+    while sighup.recv().await.is_some() {
         let path = path.clone();
-        let read = tokio::task::spawn_blocking(move || load(&path).map_err(|e| e.to_string())).await;
-        let fresh = match read.map_err(|e| e.to_string()) {
-            Ok(Ok(fresh)) => fresh,
-            Ok(Err(why)) | Err(why) => {
-                warn!(log, "reload refused, the old configuration stays"; "why" => why);
+        let loaded = tokio::task::spawn_blocking(move || load_config(&path).map_err(|e| e.to_string())).await;
+        let new = match loaded.map_err(|e| e.to_string()) {
+            Ok(Ok(new)) => new,
+            Ok(Err(reason)) | Err(reason) => {
+                warn!(log, "reload refused, the old configuration stays"; "reason" => reason);
                 continue;
             }
         };
-        let later = held.changes_needing_restart(&fresh);
-        if !later.is_empty() {
-            warn!(log, "changed, but taken up at the next start only"; "keys" => later.join(" "));
+        let deferred = current.changes_needing_restart(&new);
+        if !deferred.is_empty() {
+            warn!(log, "changed, but taken up at the next start only"; "keys" => deferred.join(" "));
         }
-        parts.platform.borrow_mut().reload(&fresh);
-        if let (Some(front), Some(setup)) = (&parts.front, &fresh.enum_front) {
-            front.borrow_mut().reload(setup);
-            parts.platform.borrow_mut().set_look_up(front.clone(), setup.look_up_share);
+        parts.platform.borrow_mut().reload(&new);
+        if let (Some(front), Some(enum_config)) = (&parts.enum_front, &new.enum_front) {
+            front.borrow_mut().reload(enum_config);
+            parts.platform.borrow_mut().set_look_up(front.clone(), enum_config.look_up_share);
         }
-        if let (Some(standby), Some(setup)) = (&parts.standby, &fresh.vrrp) {
-            standby.reload(setup);
+        if let (Some(router), Some(vrrp_config)) = (&parts.virtual_router, &new.vrrp) {
+            router.reload(vrrp_config);
         }
-        info!(log, "reloaded"; "coordinator" => ?fresh.coordinator);
-        held = fresh;
+        info!(log, "reloaded"; "coordinator" => ?new.coordinator);
+        current = new;
     }
 }
 
-/// The task that accepts client connections, and the way to end it.
-struct Accepting {
+/// The task that accepts client connections, with the signal that ends it.
+struct AcceptTask {
     stop: Rc<Notify>,
     task: JoinHandle<()>,
 }
 
-impl Accepting {
+impl AcceptTask {
     fn start(platform: Handle, listener: TcpListener) -> Self {
         let stop = Rc::new(Notify::new());
         let task = tokio::task::spawn_local(sockets::accept(platform, listener, stop.clone()));
@@ -176,6 +185,6 @@
     }
 }
 
-async fn bind(key: &str, at: SocketAddr) -> Result<UdpSocket, Failure> {
-    Ok(UdpSocket::bind(at).await.map_err(|e| format!("{key}: {at}: {e}"))?)
+async fn bind_udp(key: &str, address: SocketAddr) -> Result<UdpSocket, StartError> {
+    Ok(UdpSocket::bind(address).await.map_err(|e| format!("{key}: {address}: {e}"))?)
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The call router: reads its configuration and serves.
+//! The call router: reads its configuration file and runs until it is stopped.
 
 #![forbid(unsafe_code)]
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
@@ -6,11 +6,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use quartzspindle::lifecycle::run::{self, Failure};
+use quartzspindle::lifecycle::run::{self, StartError};
 use slog::{o, Drain, Logger};
 
+/// Maximum number of log lines that wait to be written.
+const LOG_QUEUE_LINES: usize = 1024;
+
 fn main() -> ExitCode {
-    match start() {
+    match run_router() {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("quartzspindle: {e}");
@@ -19,15 +22,16 @@
     }
 }
 
-fn start() -> Result<(), Failure> {
+fn run_router() -> Result<(), StartError> {
     let path = std::env::args_os().nth(1).or_else(|| std::env::var_os("LB_CONFIG"));
-    let path: PathBuf = path.ok_or("give a configuration file, or its path in LB_CONFIG")?.into();
-    let config = run::load(&path)?;
+    let path: PathBuf =
+        path.ok_or("no configuration file: pass its path as the first argument or in LB_CONFIG")?.into();
+    let config = run::load_config(&path)?;
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
-    let lines = slog_term::FullFormat::new(decorator).build().fuse();
-    // Lines are written by a thread of their own; if they come too fast some are dropped and counted.
-    let (queue, _guard) = slog_async::Async::new(lines).chan_size(1024).build_with_guard();
+    let formatter = slog_term::FullFormat::new(decorator).build().fuse();
+    // A separate thread writes the log. When the queue is full, lines are dropped and their number is logged.
+    let (queue, _guard) = slog_async::Async::new(formatter).chan_size(LOG_QUEUE_LINES).build_with_guard();
     let log = Logger::root(queue.fuse(), o!());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, run::serve(path, config, log))
+    tokio::task::LocalSet::new().block_on(&runtime, run::run(path, config, log))
 }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -1,8 +1,8 @@
-//! The ENUM front (RFC 6116): NAPTR queries from resolvers, and look-ups for calls that bring a number
-//! but no destination.
+//! The ENUM front (RFC 6116): answers NAPTR queries of resolvers, and looks up numbers of calls that have no
+//! destination.
 //!
-//! Both are requests to a core of their own, whose exchanges are the upstream DNS servers and whose
-//! decision module sees them as pools. Each upstream query is an attempt.
+//! Both kinds of look-up are requests to a separate core, whose exchanges are the upstream DNS servers and
+//! whose decision module treats them as pools. Each query to an upstream server is an attempt.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -28,176 +28,182 @@
 use crate::Controller;
 
 /// Class of a resolver's query.
-pub const QUERY: usize = 0;
-/// Class of a look-up for a call; it goes before queries.
-pub const CALL: usize = 1;
-/// Non-terminal records followed for one call.
-const FOLLOWED: usize = 5;
-/// Queries read in one go before the others on this thread get their turn.
-///
-/// Guards set-ups against a flood of queries.
-const AT_ONCE: usize = 8;
-/// How often the room at the upstreams is told.
-const LOOK: Duration = Duration::from_millis(100);
-/// Largest datagram read.
-const DATAGRAM: usize = 4096;
-
-/// What a look-up found.
+pub const RESOLVER_CLASS: usize = 0;
+/// Class of a look-up for a call, which takes precedence over resolvers' queries.
+pub const CALL_CLASS: usize = 1;
+/// Maximum number of names that are looked up for one call, following non-terminal records.
+const MAX_LOOK_UPS_PER_CALL: usize = 5;
+/// Number of queries read before other tasks on this thread run, so that a flood of queries does not delay
+/// set-ups.
+const QUERIES_PER_TURN: usize = 8;
+/// Interval at which the capacity of the upstream servers is reported to the core.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum size in bytes of a datagram read.
+const MAX_DATAGRAM_BYTES: usize = 4096;
+
+/// Answer of an upstream server to a look-up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Found {
-    /// The upstream's response code.
+pub struct LookUpResult {
+    /// Response code, [`dns::NOERROR`] or [`dns::NXDOMAIN`].
     pub rcode: u8,
-    /// Its records.
+    /// NAPTR records of the number.
     pub records: Vec<Naptr>,
 }
 
-/// Where a call is to go, or why not.
+/// Result of resolving the number of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resolution {
-    /// To this place.
+    /// The call goes to this node.
     RouteTo(NodeNumber),
-    /// The number does not exist or leads nowhere that is served here.
+    /// The number does not exist, or none of its records leads to a host that is served here.
     NotFound,
-    /// Not known in time.
+    /// The look-up failed or took too long.
     Unknown,
 }
 
+/// Where the result of a look-up goes.
 #[derive(Debug)]
-enum Asker {
+enum Requester {
     Resolver { from: SocketAddr, query: Message },
-    Call(oneshot::Sender<Option<Found>>),
+    Call(oneshot::Sender<Option<LookUpResult>>),
 }
 
 #[derive(Debug)]
 struct Upstream {
     address: SocketAddr,
-    /// Queries out, and their tasks.
-    out: HashMap<CallId, AbortHandle>,
+    /// Tasks of the pending queries, by look-up.
+    queries: HashMap<CallId, AbortHandle>,
 }
 
-/// The front and all that it holds.
+/// The state of the ENUM front.
 #[derive(Debug)]
-pub struct Front {
-    me: Weak<RefCell<Front>>,
-    /// The core behind it.
+pub struct EnumFront {
+    self_ref: Weak<RefCell<EnumFront>>,
+    /// Core that schedules the look-ups.
     pub core: Core,
     clock: Clock,
     log: Logger,
     config: EnumConfig,
-    /// Only the active of several routers answers.
-    active: Rc<Cell<bool>>,
+    /// Whether this router is the active one; a backup does not answer queries.
+    is_active: Rc<Cell<bool>>,
     socket: Option<Rc<UdpSocket>>,
-    askers: HashMap<CallId, Asker>,
-    /// Queries in hand, so that a resolver's repeat is not taken for another.
-    asked: HashSet<(SocketAddr, u16)>,
+    /// Requester of each pending look-up.
+    requesters: HashMap<CallId, Requester>,
+    /// Pending queries by address and message id, so that a repeated query is not taken for a new one.
+    resolver_queries: HashSet<(SocketAddr, u16)>,
+    /// Name that each pending look-up asks for.
     names: HashMap<CallId, Name>,
-    found: HashMap<CallId, Found>,
+    /// Answers of upstream servers that the core has not concluded yet.
+    results: HashMap<CallId, LookUpResult>,
     upstreams: BTreeMap<ExchangeId, Upstream>,
-    next: u64,
-    due: Rc<Notify>,
+    last_number: u64,
+    /// Notified when the next due time may have changed.
+    due_changed: Rc<Notify>,
 }
 
-/// A front that its tasks share; none holds it across an await.
-pub type Handle = Rc<RefCell<Front>>;
+/// Shared handle to the front. Tasks must not hold a borrow across an await.
+pub type Handle = Rc<RefCell<EnumFront>>;
 
-impl Front {
-    /// Makes the front and its core.
+impl EnumFront {
+    /// Creates the front and its core.
     ///
     /// # Errors
-    /// When the decision module takes the settings for senseless.
+    /// If the decision module rejects the settings.
     pub fn new(
         config: &EnumConfig,
         seed: u64,
         log: Logger,
         clock: Clock,
-        active: Rc<Cell<bool>>,
+        is_active: Rc<Cell<bool>>,
     ) -> Result<Handle, SettingsError> {
         let now = clock.now();
         let core = Core::new(Controller::new(config.settings.clone(), seed, now)?, Exchanges::default(), now);
-        Ok(Rc::new_cyclic(|me| {
+        Ok(Rc::new_cyclic(|self_ref| {
             let mut front = Self {
-                me: me.clone(),
+                self_ref: self_ref.clone(),
                 core,
                 clock,
                 log,
                 config: config.clone(),
-                active,
+                is_active,
                 socket: None,
-                askers: HashMap::new(),
-                asked: HashSet::new(),
+                requesters: HashMap::new(),
+                resolver_queries: HashSet::new(),
                 names: HashMap::new(),
-                found: HashMap::new(),
+                results: HashMap::new(),
                 upstreams: BTreeMap::new(),
-                next: 0,
-                due: Rc::default(),
+                last_number: 0,
+                due_changed: Rc::default(),
             };
-            front.list_upstreams();
+            front.apply_upstreams();
             RefCell::new(front)
         }))
     }
 
-    /// Makes the list of upstream servers that of the set-up. Queries that are out to one that is no longer
-    /// listed run on to their end.
-    fn list_upstreams(&mut self) {
+    /// Applies the configured list of upstream servers. Pending queries to a server that is no longer listed
+    /// run to completion.
+    fn apply_upstreams(&mut self) {
         let id = |address: &SocketAddr| ExchangeId(address.to_string().into());
-        let entries = self.config.upstreams.iter().zip(0..).map(|(address, place)| DirectoryEntry {
+        let entries = self.config.upstreams.iter().zip(0..).map(|(address, number)| DirectoryEntry {
             exchange: id(address),
-            node: NodeNumber(place),
+            node: NodeNumber(number),
             zone: 0,
             health: Health::Live,
             up_since: None,
         });
         self.core.directory(self.clock.now(), UpdateKind::Full, entries.collect());
         for address in &self.config.upstreams {
-            let upstream = Upstream { address: *address, out: HashMap::new() };
+            let upstream = Upstream { address: *address, queries: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
         }
         let listed = &self.config.upstreams;
-        self.upstreams.retain(|_, u| listed.contains(&u.address) || !u.out.is_empty());
-        self.tell_room();
+        self.upstreams.retain(|_, u| listed.contains(&u.address) || !u.queries.is_empty());
+        self.report_capacity();
     }
 
-    /// Takes up a new set-up while look-ups go on. What the module was told at the start stays, and so does
-    /// the socket.
+    /// Applies a new configuration while look-ups continue. The settings of the decision module, the query
+    /// time-out and the socket stay as they were at the start.
     pub fn reload(&mut self, config: &EnumConfig) {
         let EnumConfig { listen, query_timeout, settings, .. } = self.config.clone();
         self.config = EnumConfig { listen, query_timeout, settings, ..config.clone() };
-        self.list_upstreams();
+        self.apply_upstreams();
         self.flush();
     }
 
-    /// Look-ups in hand, and those of them for calls.
-    pub fn in_hand(&self) -> (usize, usize) {
-        let calls = self.askers.values().filter(|a| matches!(a, Asker::Call(_))).count();
-        (self.askers.len(), calls)
+    /// Returns the number of pending look-ups, and how many of them are for calls.
+    pub fn pending_counts(&self) -> (usize, usize) {
+        let calls = self.requesters.values().filter(|a| matches!(a, Requester::Call(_))).count();
+        (self.requesters.len(), calls)
     }
 
-    /// Upstream servers and the queries out to each.
+    /// Returns the upstream servers with the number of pending queries to each.
     pub fn upstreams(&self) -> impl Iterator<Item = (&ExchangeId, usize)> {
-        self.upstreams.iter().map(|(id, u)| (id, u.out.len()))
+        self.upstreams.iter().map(|(id, u)| (id, u.queries.len()))
     }
 
-    /// Answers what is still open, before the program ends.
-    pub fn finish(&mut self) {
+    /// Answers every pending look-up as failed, before the program ends.
+    pub fn give_up_all(&mut self) {
         self.core.give_up_all(self.clock.now());
         self.flush();
     }
 
-    /// Tells the core how many more queries each upstream may get: its free 'agents'.
-    fn tell_room(&mut self) {
-        let (now, size) = (self.clock.now(), self.config.window_per_upstream as f64);
+    /// Reports to the core how many more queries each upstream server may get, as the number of its free
+    /// agents.
+    fn report_capacity(&mut self) {
+        let (now, window) = (self.clock.now(), self.config.window_per_upstream as f64);
         let free: Vec<(ExchangeId, f64)> =
-            self.upstreams.iter().map(|(id, u)| (id.clone(), size - u.out.len() as f64)).collect();
+            self.upstreams.iter().map(|(id, u)| (id.clone(), window - u.queries.len() as f64)).collect();
         for (id, free) in free {
-            self.core.report(now, &id, vec![free.max(0.0), size]);
+            self.core.report(now, &id, vec![free.max(0.0), window]);
         }
     }
 
-    fn begin(&mut self, asker: Asker, class: usize, name: Name, remaining: Duration) {
-        self.next += 1;
-        let id = CallId(format!("{:016x}", self.next).into());
+    /// Starts a look-up.
+    fn begin(&mut self, requester: Requester, class: usize, name: Name, remaining: Duration) {
+        self.last_number += 1;
+        let id = CallId(format!("{:016x}", self.last_number).into());
         let number: Arc<str> = name.to_string().into();
-        self.askers.insert(id.clone(), asker);
+        self.requesters.insert(id.clone(), requester);
         self.names.insert(id.clone(), name);
         let offer = OfferedCall {
             call: id,
@@ -212,18 +218,19 @@
             is_transit: false,
             is_reconnect: false,
         };
-        let request = Request { origin: Origin(self.next), offer, description: "".into() };
+        let request = Request { origin: Origin(self.last_number), offer, description: "".into() };
         self.core.request(self.clock.now(), request);
         self.flush();
     }
 
-    fn datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
-        if !self.active.get() {
+    /// Handles a datagram from a resolver.
+    fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8]) {
+        if !self.is_active.get() {
             return;
         }
         let Some((id, response)) = dns::decode_header(bytes) else { return };
         if response {
-            return; // guards against two servers that answer each other for ever
+            return; // answering a response could start an endless exchange between two servers
         }
         let Some(query) = dns::decode(bytes) else {
             return self.send_to_client(from, &dns::format_error_response(id));
@@ -232,19 +239,20 @@
             Ok(name) => name,
             Err(rcode) => return self.send_to_client(from, &dns::response(&query, rcode, &[])),
         };
-        if self.asked.contains(&(from, id)) {
+        if self.resolver_queries.contains(&(from, id)) {
             return;
         }
-        // The last quarter is kept for calls, and of the rest no resolver takes more than half: guards the
-        // others' turn against a flood from one.
-        let room = self.config.max_look_ups - self.config.max_look_ups / 4;
-        let own = self.asked.iter().filter(|(asker, _)| asker.ip() == from.ip()).count();
-        if self.askers.len() >= room || own >= room.div_ceil(2) {
+        // The last quarter is reserved for calls. One resolver may take at most half of the rest, so that a
+        // flood from one does not lock out the others.
+        let limit = self.config.max_look_ups - self.config.max_look_ups / 4;
+        let from_same_address =
+            self.resolver_queries.iter().filter(|(resolver, _)| resolver.ip() == from.ip()).count();
+        if self.requesters.len() >= limit || from_same_address >= limit.div_ceil(2) {
             return self.send_to_client(from, &dns::response(&query, dns::SERVFAIL, &[]));
         }
-        self.asked.insert((from, id));
+        self.resolver_queries.insert((from, id));
         let within = self.config.answer_within;
-        self.begin(Asker::Resolver { from, query }, QUERY, name, within);
+        self.begin(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
     }
 
     fn send_to_client(&self, to: SocketAddr, bytes: &[u8]) {
@@ -255,24 +263,25 @@
         }
     }
 
+    /// Executes the effects of the core until none is left.
     fn flush(&mut self) {
         loop {
             let effects = self.core.take_effects();
             if effects.is_empty() {
                 break;
             }
-            effects.into_iter().for_each(|effect| self.carry_out(effect));
+            effects.into_iter().for_each(|effect| self.execute(effect));
         }
-        self.due.notify_one();
+        self.due_changed.notify_one();
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::Start { exchange, call, left, .. } => self.query(&exchange, &call, left),
-            Effect::Finish { exchange: Some(exchange), call, .. } => self.forget(&exchange, &call),
+            Effect::Start { exchange, call, left, .. } => self.send_query(&exchange, &call, left),
+            Effect::Finish { exchange: Some(exchange), call, .. } => self.end_query(&exchange, &call),
             Effect::Answer { call, .. } => {
-                let found = self.found.remove(&call);
-                self.conclude(&call, found);
+                let result = self.results.remove(&call);
+                self.conclude(&call, result);
             }
             Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
@@ -280,136 +289,143 @@
         }
     }
 
-    /// The one final answer of a look-up.
-    fn conclude(&mut self, call: &CallId, found: Option<Found>) {
+    /// Gives the requester of a look-up its only answer; `None` if the look-up failed.
+    fn conclude(&mut self, call: &CallId, result: Option<LookUpResult>) {
         self.names.remove(call);
-        match self.askers.remove(call) {
-            Some(Asker::Resolver { from, query }) => {
-                self.asked.remove(&(from, query.id));
-                let response = match &found {
-                    Some(found) => dns::response(&query, found.rcode, &found.records),
+        match self.requesters.remove(call) {
+            Some(Requester::Resolver { from, query }) => {
+                self.resolver_queries.remove(&(from, query.id));
+                let response = match &result {
+                    Some(result) => dns::response(&query, result.rcode, &result.records),
                     None => dns::response(&query, dns::SERVFAIL, &[]),
                 };
                 self.send_to_client(from, &response);
             }
-            // Whoever asked for a call may have stopped waiting.
-            Some(Asker::Call(asker)) => drop(asker.send(found)),
+            // Fails if the task that waits for the result has ended.
+            Some(Requester::Call(sender)) => drop(sender.send(result)),
             None => {}
         }
     }
 
-    fn forget(&mut self, exchange: &ExchangeId, call: &CallId) {
-        if let Some(task) = self.upstreams.get_mut(exchange).and_then(|u| u.out.remove(call)) {
-            task.abort(); // its socket goes with it
+    /// Removes a pending query and aborts its task.
+    fn end_query(&mut self, exchange: &ExchangeId, call: &CallId) {
+        if let Some(task) = self.upstreams.get_mut(exchange).and_then(|u| u.queries.remove(call)) {
+            task.abort(); // also closes its socket
         }
     }
 
-    /// Sends one query; its task ends with a reply, a failure or the time-out.
-    fn query(&mut self, exchange: &ExchangeId, call: &CallId, left: Duration) {
-        let (Some(me), Some(name)) = (self.me.upgrade(), self.names.get(call).cloned()) else { return };
+    /// Starts a task that sends one query to an upstream server and waits for the reply until the time-out.
+    fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, left: Duration) {
+        let (Some(front), Some(name)) = (self.self_ref.upgrade(), self.names.get(call).cloned()) else {
+            return;
+        };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
-        let (address, within) = (upstream.address, left.min(self.config.query_timeout));
+        let (address, timeout) = (upstream.address, left.min(self.config.query_timeout));
         let (exchange, id) = (exchange.clone(), call.clone());
         let task = tokio::task::spawn_local(async move {
-            let asked = tokio::time::timeout(within, ask(address, &name)).await;
-            me.borrow_mut().replied(&exchange, &id, asked.unwrap_or(Err(Failed::Silent)));
+            let reply = tokio::time::timeout(timeout, query_upstream(address, &name)).await;
+            front.borrow_mut().on_reply(&exchange, &id, reply.unwrap_or(Err(QueryError::TimedOut)));
         });
-        upstream.out.insert(call.clone(), task.abort_handle());
+        upstream.queries.insert(call.clone(), task.abort_handle());
     }
 
-    fn replied(&mut self, exchange: &ExchangeId, call: &CallId, reply: Result<Message, Failed>) {
-        self.forget(exchange, call);
+    fn on_reply(&mut self, exchange: &ExchangeId, call: &CallId, reply: Result<Message, QueryError>) {
+        self.end_query(exchange, call);
         let now = self.clock.now();
         let status = match reply {
-            Err(Failed::Silent) => AttemptStatus::TimedOut,
-            Err(Failed::Unreachable) => AttemptStatus::Unreachable,
-            // What is cut or spoilt can't be read whole here; another server may give it in full.
+            Err(QueryError::TimedOut) => AttemptStatus::TimedOut,
+            Err(QueryError::Unreachable) => AttemptStatus::Unreachable,
+            // A truncated or corrupt reply is incomplete; another server may give the full answer.
             Ok(reply) if reply.is_truncated => AttemptStatus::Full,
             Ok(reply) => match reply.rcode {
                 dns::NOERROR | dns::NXDOMAIN => {
-                    self.found.insert(call.clone(), Found { rcode: reply.rcode, records: reply.records });
+                    self.results
+                        .insert(call.clone(), LookUpResult { rcode: reply.rcode, records: reply.records });
                     self.core.reply(now, exchange, call, Reply::Stands("".into()));
                     AttemptStatus::Ended
                 }
-                // Not resolved by this one; another may.
+                // Another server may be able to resolve the name.
                 dns::SERVFAIL | dns::REFUSED => AttemptStatus::Full,
                 _ => AttemptStatus::Error,
             },
         };
         if status != AttemptStatus::Ended {
-            debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "how" => ?status);
+            debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "status" => ?status);
         }
         self.core.reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
-        self.tell_room();
+        self.report_capacity();
         self.flush();
-        self.found.remove(call); // left only if nobody waits any more
+        self.results.remove(call); // still there only if no requester was waiting
     }
 
-    /// The place that a lead's host stands for.
-    fn place(&self, lead: &Target) -> Option<NodeNumber> {
-        let Target::Uri(uri) = lead else { return None };
+    /// Returns the node that serves the host of a target's URI.
+    fn node_for(&self, target: &Target) -> Option<NodeNumber> {
+        let Target::Uri(uri) = target else { return None };
         let host = dns::sip_uri_host(uri)?.to_ascii_lowercase();
         self.config.routes.get(&host).copied()
     }
 }
 
+/// Why a query to an upstream server got no valid reply.
 #[derive(Debug)]
-enum Failed {
-    Silent,
+enum QueryError {
+    TimedOut,
     Unreachable,
 }
 
-fn random_id() -> Result<u16, Failed> {
+fn random_id() -> Result<u16, QueryError> {
     let mut id = [0; 2];
-    getrandom::fill(&mut id).map_err(|_| Failed::Unreachable)?;
+    getrandom::fill(&mut id).map_err(|_| QueryError::Unreachable)?;
     Ok(u16::from_be_bytes(id))
 }
 
-/// Whether a message answers a query.
-fn answers(reply: &Message, id: u16, name: &Name) -> bool {
+/// Returns whether a message is the response to a query with this id and name.
+fn is_reply_to(reply: &Message, id: u16, name: &Name) -> bool {
     let question = reply.question.as_ref();
-    let same = question.is_some_and(|(n, kind, class)| n == name && (*kind, *class) == (dns::NAPTR, 1));
-    reply.is_response && reply.opcode == 0 && reply.id == id && same
+    let has_same_question =
+        question.is_some_and(|(n, kind, class)| n == name && (*kind, *class) == (dns::NAPTR, 1));
+    reply.is_response && reply.opcode == 0 && reply.id == id && has_same_question
 }
 
-/// One query and its reply. What does not fit a datagram is asked for again over TCP (RFC 7766); if that
-/// fails, the reply stays cut.
-async fn ask(upstream: SocketAddr, name: &Name) -> Result<Message, Failed> {
-    let reply = ask_by_datagram(upstream, name).await?;
+/// Sends a query and returns the reply. If the reply is truncated, the query is repeated over TCP (RFC 7766);
+/// if that fails, the truncated reply is returned.
+async fn query_upstream(upstream: SocketAddr, name: &Name) -> Result<Message, QueryError> {
+    let reply = query_over_udp(upstream, name).await?;
     if !reply.is_truncated {
         return Ok(reply);
     }
-    Ok(ask_by_stream(upstream, name).await.unwrap_or(reply))
+    Ok(query_over_tcp(upstream, name).await.unwrap_or(reply))
 }
 
-async fn ask_by_stream(upstream: SocketAddr, name: &Name) -> Result<Message, Failed> {
-    let unreachable = |_: io::Error| Failed::Unreachable;
+async fn query_over_tcp(upstream: SocketAddr, name: &Name) -> Result<Message, QueryError> {
+    let unreachable = |_: io::Error| QueryError::Unreachable;
     let mut stream = TcpStream::connect(upstream).await.map_err(unreachable)?;
     let id = random_id()?;
     stream.write_all(&dns::with_length_prefix(&dns::query(id, name))).await.map_err(unreachable)?;
-    // The length is two bytes, so what is read is bounded.
+    // The two-byte length limits what is read.
     let length = stream.read_u16().await.map_err(unreachable)?;
     let mut bytes = vec![0; usize::from(length)];
     stream.read_exact(&mut bytes).await.map_err(unreachable)?;
-    dns::decode(&bytes).filter(|reply| answers(reply, id, name)).ok_or(Failed::Unreachable)
+    dns::decode(&bytes).filter(|reply| is_reply_to(reply, id, name)).ok_or(QueryError::Unreachable)
 }
 
-/// From a port of its own, with a random id; anything else that arrives there is passed over, since anyone
-/// can send it.
-async fn ask_by_datagram(upstream: SocketAddr, name: &Name) -> Result<Message, Failed> {
+/// Sends the query from a separate port with a random id. Datagrams that are not the reply are ignored, since
+/// anyone can send them.
+async fn query_over_udp(upstream: SocketAddr, name: &Name) -> Result<Message, QueryError> {
     let local: SocketAddr = if upstream.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
-    let unreachable = |_: io::Error| Failed::Unreachable;
+    let unreachable = |_: io::Error| QueryError::Unreachable;
     let socket = UdpSocket::bind(local).await.map_err(unreachable)?;
     socket.connect(upstream).await.map_err(unreachable)?;
     let id = random_id()?;
     socket.send(&dns::query(id, name)).await.map_err(unreachable)?;
-    let mut buffer = [0; DATAGRAM];
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let length = socket.recv(&mut buffer).await.map_err(unreachable)?;
-        // Guards against waiting out a reply that came and was spoilt: another server is asked at once.
+        // A corrupt reply ends the wait, so that another server is asked at once instead of after the
+        // time-out.
         let reply = dns::decode(&buffer[..length]).or_else(|| dns::decode_corrupt(&buffer[..length]));
         let Some(reply) = reply else { continue };
-        if answers(&reply, id, name) {
+        if is_reply_to(&reply, id, name) {
             return Ok(reply);
         }
     }
@@ -417,61 +433,61 @@
 
 // ---- tasks -------------------------------------------------------------------------------------
 
-/// Looks a number up for a call, following names that lead on, within a time.
-pub async fn resolve(front: Handle, number: String, within: Duration) -> Resolution {
+/// Resolves the number of a call within a time limit, following non-terminal records.
+pub async fn resolve(front: Handle, number: String, time_limit: Duration) -> Resolution {
     let search = async {
         let zone = front.borrow().config.zone.clone();
         let Some(mut name) = dns::name_for_number(&number, &zone) else { return Resolution::NotFound };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
-        let (full, end) = (format!("+{digits}"), tokio::time::Instant::now() + within);
-        for _ in 0..FOLLOWED {
-            let (sender, answer) = oneshot::channel();
+        let (e164_number, deadline) = (format!("+{digits}"), tokio::time::Instant::now() + time_limit);
+        for _ in 0..MAX_LOOK_UPS_PER_CALL {
+            let (sender, receiver) = oneshot::channel();
             {
                 let mut front = front.borrow_mut();
-                if front.askers.len() >= front.config.max_look_ups {
+                if front.requesters.len() >= front.config.max_look_ups {
                     return Resolution::Unknown;
                 }
-                let left = end.saturating_duration_since(tokio::time::Instant::now());
-                front.begin(Asker::Call(sender), CALL, name.clone(), left);
+                let left = deadline.saturating_duration_since(tokio::time::Instant::now());
+                front.begin(Requester::Call(sender), CALL_CLASS, name.clone(), left);
             }
-            let Ok(Some(found)) = answer.await else { return Resolution::Unknown };
-            let leads = dns::targets(&found.records, &full);
-            // Leads to hosts that are not served here are passed over, as are circles.
+            let Ok(Some(result)) = receiver.await else { return Resolution::Unknown };
+            let targets = dns::targets(&result.records, &e164_number);
+            // Hosts that are not served here are skipped. A name that refers to itself ends the search.
             let front = front.borrow();
-            let next = leads.iter().find_map(|lead| match lead {
-                Target::Name(on) => Some(Err(on.clone())),
-                uri => front.place(uri).map(Ok),
+            let next = targets.iter().find_map(|target| match target {
+                Target::Name(next_name) => Some(Err(next_name.clone())),
+                uri => front.node_for(uri).map(Ok),
             });
             match next {
-                Some(Ok(place)) => return Resolution::RouteTo(place),
-                Some(Err(on)) if on != name => name = on,
+                Some(Ok(node)) => return Resolution::RouteTo(node),
+                Some(Err(next_name)) if next_name != name => name = next_name,
                 _ => return Resolution::NotFound,
             }
         }
         Resolution::NotFound
     };
-    tokio::time::timeout(within, search).await.unwrap_or(Resolution::Unknown)
+    tokio::time::timeout(time_limit, search).await.unwrap_or(Resolution::Unknown)
 }
 
-/// Takes queries.
-pub async fn answer(front: Handle, socket: UdpSocket) {
+/// Receives resolvers' queries on a socket.
+pub async fn serve_queries(front: Handle, socket: UdpSocket) {
     let socket = Rc::new(socket);
     front.borrow_mut().socket = Some(socket.clone());
-    let mut buffer = [0; DATAGRAM];
-    let mut read = 0;
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
+    let mut received = 0;
     loop {
         match socket.recv_from(&mut buffer).await {
-            Ok((length, from)) => front.borrow_mut().datagram(from, &buffer[..length]),
+            Ok((length, from)) => front.borrow_mut().on_datagram(from, &buffer[..length]),
             Err(e) => warn!(front.borrow().log, "query not read"; "error" => %e),
         }
-        read += 1;
-        if read % AT_ONCE == 0 {
+        received += 1;
+        if received % QUERIES_PER_TURN == 0 {
             tokio::task::yield_now().await;
         }
     }
 }
 
-impl Timed for Front {
+impl Timed for EnumFront {
     fn next_due(&self) -> Option<Duration> {
         self.core.next_due()
     }
@@ -482,13 +498,13 @@
     }
 
     fn sweep(&mut self, _now: Duration) {
-        self.tell_room();
+        self.report_capacity();
         self.flush();
     }
 }
 
-/// Does what is due, when it is due, and tells the core how much room there is.
-pub async fn keep_time(front: Handle) {
-    let (clock, due) = (front.borrow().clock, front.borrow().due.clone());
-    connection::keep_time(front, clock, due, LOOK).await;
+/// Runs the timers of the core, and reports the capacity of the upstream servers at an interval.
+pub async fn run_timers(front: Handle) {
+    let (clock, due_changed) = (front.borrow().clock, front.borrow().due_changed.clone());
+    connection::keep_time(front, clock, due_changed, REPORT_INTERVAL).await;
 }
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -1,4 +1,5 @@
-//! Carries a VRRP router's advertisements over UDP, and says whether this router is the active one.
+//! Sends and receives the advertisements of a VRRP router over UDP, and keeps track of whether this router is
+//! the active one.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,59 +11,60 @@
 
 use super::connection::Clock;
 use crate::lifecycle::config::VrrpConfig;
-use crate::protocol::vrrp::{Router, State};
+use crate::protocol::vrrp::{self, State};
 
-/// Largest advertisement: eight bytes and 255 addresses.
-const DATAGRAM: usize = 8 + 4 * 255;
+/// Maximum size of an advertisement in bytes: a header of 8 bytes and 255 addresses.
+const MAX_ADVERTISEMENT_BYTES: usize = 8 + 4 * 255;
 
-/// A virtual router with its socket.
+/// A virtual router: its state machine and its socket.
 #[derive(Debug)]
-pub struct Standby {
-    router: RefCell<Router>,
+pub struct VirtualRouter {
+    state_machine: RefCell<vrrp::Router>,
     socket: UdpSocket,
     peers: RefCell<Vec<SocketAddr>>,
-    active: Rc<Cell<bool>>,
+    is_active: Rc<Cell<bool>>,
     clock: Clock,
     log: Logger,
     stopped: Notify,
 }
 
-impl Standby {
-    /// A virtual router that has not started; `active` is kept true while it is the active one.
+impl VirtualRouter {
+    /// Creates a virtual router that has not started. `is_active` is kept true while it is the active router.
     pub fn new(
-        router: Router,
+        state_machine: vrrp::Router,
         socket: UdpSocket,
         peers: Vec<SocketAddr>,
-        active: Rc<Cell<bool>>,
+        is_active: Rc<Cell<bool>>,
         clock: Clock,
         log: Logger,
     ) -> Rc<Self> {
-        active.set(false);
-        let (router, peers) = (RefCell::new(router), RefCell::new(peers));
-        Rc::new(Self { router, socket, peers, active, clock, log, stopped: Notify::new() })
+        is_active.set(false);
+        let (state_machine, peers) = (RefCell::new(state_machine), RefCell::new(peers));
+        Rc::new(Self { state_machine, socket, peers, is_active, clock, log, stopped: Notify::new() })
     }
 
-    /// Its state.
+    /// Returns the current state.
     pub fn state(&self) -> State {
-        self.router.borrow().state()
+        self.state_machine.borrow().state()
     }
 
-    /// Takes up a new set-up; the state and its timer go on, so that nobody takes over for it.
+    /// Applies a new configuration. The state and the timer are kept, so that no backup takes over.
     pub fn reload(&self, config: &VrrpConfig) {
-        self.router.borrow_mut().reload(&config.router);
+        self.state_machine.borrow_mut().reload(&config.router);
         self.peers.replace(config.peers.clone());
     }
 
-    /// Hands over to another router and ends.
+    /// Stops the virtual router. If it was active, a backup is told to take over.
     pub fn stop(&self) {
-        let last = self.router.borrow_mut().stop(self.clock.now());
-        self.send(last);
+        let final_advertisement = self.state_machine.borrow_mut().stop(self.clock.now());
+        self.send(final_advertisement);
         self.stopped.notify_one();
     }
 
+    /// Updates `is_active`, logging a change of the state, and sends the advertisement, if any, to all peers.
     fn send(&self, advertisement: Option<Vec<u8>>) {
         let state = self.state();
-        if self.active.replace(state == State::Active) != (state == State::Active) {
+        if self.is_active.replace(state == State::Active) != (state == State::Active) {
             info!(self.log, "virtual router"; "state" => ?state);
         }
         let Some(bytes) = advertisement else { return };
@@ -73,34 +75,34 @@
         }
     }
 
-    fn hear(&self, from: SocketAddr, bytes: &[u8]) {
+    fn receive(&self, from: SocketAddr, bytes: &[u8]) {
         if !self.peers.borrow().contains(&from) {
-            return debug!(self.log, "advertisement discarded"; "from" => %from, "why" => "a stranger");
+            return debug!(self.log, "advertisement discarded"; "from" => %from, "reason" => "unknown sender");
         }
-        let heard = self.router.borrow_mut().receive(self.clock.now(), from, bytes);
-        match heard {
+        let reply = self.state_machine.borrow_mut().receive(self.clock.now(), from, bytes);
+        match reply {
             Ok(reply) => self.send(reply),
-            Err(why) => debug!(self.log, "advertisement discarded"; "from" => %from, "why" => why),
+            Err(reason) => debug!(self.log, "advertisement discarded"; "from" => %from, "reason" => reason),
         }
     }
 }
 
 /// Runs the virtual router until it is stopped.
-pub async fn run(standby: Rc<Standby>) {
-    let first = standby.router.borrow_mut().start(standby.clock.now());
-    standby.send(first);
-    let mut buffer = [0; DATAGRAM];
+pub async fn run(router: Rc<VirtualRouter>) {
+    let first_advertisement = router.state_machine.borrow_mut().start(router.clock.now());
+    router.send(first_advertisement);
+    let mut buffer = [0; MAX_ADVERTISEMENT_BYTES];
     loop {
-        let due = standby.router.borrow().next_due().unwrap_or_else(|| standby.clock.now());
+        let due = router.state_machine.borrow().next_due().unwrap_or_else(|| router.clock.now());
         tokio::select! {
-            () = standby.stopped.notified() => return,
-            () = tokio::time::sleep_until(standby.clock.instant(due)) => {
-                let advertisement = standby.router.borrow_mut().on_timer(standby.clock.now());
-                standby.send(advertisement);
+            () = router.stopped.notified() => return,
+            () = tokio::time::sleep_until(router.clock.instant(due)) => {
+                let advertisement = router.state_machine.borrow_mut().on_timer(router.clock.now());
+                router.send(advertisement);
             }
-            heard = standby.socket.recv_from(&mut buffer) => {
-                if let Ok((length, from)) = heard {
-                    standby.hear(from, &buffer[..length]);
+            received = router.socket.recv_from(&mut buffer) => {
+                if let Ok((length, from)) = received {
+                    router.receive(from, &buffer[..length]);
                 }
             }
         }
