--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -1,5 +1,5 @@
-//! The ENUM front, VRRP and their state machines: the router as a process between resolvers, callers and
-//! stand-in DNS servers, and the protocols fed by hand.
+//! Tests of the ENUM front and of VRRP: the router runs as a process between resolvers, clients and emulated
+//! DNS servers. The DNS codec and the VRRP state machine are also tested on their own.
 
 mod harness;
 
@@ -11,7 +11,7 @@
 
 use harness::*;
 use quartzspindle::protocol::dns::{self, Message, Name, Naptr, Target};
-use quartzspindle::protocol::vrrp::{Advertisement, Config, Router as Virtual, State};
+use quartzspindle::protocol::vrrp::{Advertisement, Config, Router as VirtualRouter, State};
 use rstest::rstest;
 use serde_json::{json, Value};
 
@@ -26,19 +26,21 @@
     Naptr { ttl: 60, order, preference, flags, services, regexp, replacement }
 }
 
-fn to_place(place: u32) -> Naptr {
-    naptr(10, 10, "u", "E2U+sip", &format!("!^.*$!sip:\\\\0@place{place}.example!").replace("\\\\0", "info"))
+/// Returns a NAPTR record that leads to the host of a node.
+fn record_for_node(node: u32) -> Naptr {
+    naptr(10, 10, "u", "E2U+sip", &format!("!^.*$!sip:\\\\0@place{node}.example!").replace("\\\\0", "info"))
 }
 
-/// What a stand-in server does with its n-th query.
-enum Does {
+/// Reaction of an emulated DNS server to a query.
+enum Behaviour {
     Answer(u8, Vec<Naptr>),
-    Later(Duration, Vec<Naptr>),
+    AnswerAfter(Duration, Vec<Naptr>),
     Drop,
     Raw(fn(&Message, &[u8]) -> Vec<Vec<u8>>),
 }
 
-fn server(mut behave: impl FnMut(usize) -> Does + Send + 'static) -> SocketAddr {
+/// Starts an emulated DNS server; `behaviour` gives its reaction to the n-th query, counted from 0.
+fn start_server(mut behaviour: impl FnMut(usize) -> Behaviour + Send + 'static) -> SocketAddr {
     let socket = UdpSocket::bind(ephemeral_address()).unwrap();
     let address = socket.local_addr().unwrap();
     thread::spawn(move || {
@@ -46,19 +48,19 @@
         for n in 0.. {
             let Ok((length, from)) = socket.recv_from(&mut buffer) else { return };
             let query = dns::decode(&buffer[..length]).unwrap();
-            match behave(n) {
-                Does::Drop => {}
-                Does::Answer(rcode, records) => {
+            match behaviour(n) {
+                Behaviour::Drop => {}
+                Behaviour::Answer(rcode, records) => {
                     socket.send_to(&dns::response(&query, rcode, &records), from).unwrap();
                 }
-                Does::Later(after, records) => {
+                Behaviour::AnswerAfter(after, records) => {
                     let socket = socket.try_clone().unwrap();
                     thread::spawn(move || {
                         thread::sleep(after);
                         let _ = socket.send_to(&dns::response(&query, 0, &records), from);
                     });
                 }
-                Does::Raw(make) => {
+                Behaviour::Raw(make) => {
                     make(&query, &buffer[..length]).iter().for_each(|r| drop(socket.send_to(r, from)));
                 }
             }
@@ -67,7 +69,7 @@
     address
 }
 
-fn with_enum(exchanges: &[SocketAddr], upstreams: &[SocketAddr], more: &Value) -> Value {
+fn enum_config(exchanges: &[SocketAddr], upstreams: &[SocketAddr], more: &Value) -> Value {
     let mut config = router_config(exchanges);
     let upstreams: Vec<String> = upstreams.iter().map(ToString::to_string).collect();
     config["enum"] = json!({"listen": "127.0.0.1:0", "upstreams": upstreams, "answer_within_ms": 3000,
@@ -85,14 +87,14 @@
     dns::decode(&buffer[..length]).unwrap()
 }
 
-const NUMBER: &str = "5.4.3.2.1.6.8.3.e164.arpa";
+const QUERY_NAME: &str = "5.4.3.2.1.6.8.3.e164.arpa";
 
-fn other_id(query: &Message, _: &[u8]) -> Vec<Vec<u8>> {
+fn forged_replies(query: &Message, _: &[u8]) -> Vec<Vec<u8>> {
     let mut forged = query.clone();
     forged.id = forged.id.wrapping_add(1);
     let mut elsewhere = query.clone();
     elsewhere.question = Some((name("1.e164.arpa"), 35, 1));
-    let good = dns::response(query, 0, &[to_place(1)]);
+    let good = dns::response(query, 0, &[record_for_node(1)]);
     vec![dns::response(&forged, 3, &[]), dns::response(&elsewhere, 3, &[]), vec![1, 2, 3], good]
 }
 
@@ -103,67 +105,80 @@
 }
 
 #[rstest]
-#[case::found(|_| Does::Answer(0, vec![to_place(1)]), 0, 1)]
-#[case::no_such_number(|_| Does::Answer(3, vec![]), 3, 0)]
-#[case::forged_replies_are_passed_over(|_| Does::Raw(other_id), 0, 1)]
-#[case::server_fails(|_| Does::Answer(2, vec![]), 2, 0)]
-#[case::truncated(|_| Does::Raw(truncated), 2, 0)]
-#[case::lost_once(|n| if n == 0 { Does::Drop } else { Does::Answer(0, vec![to_place(1)]) }, 0, 1)]
-#[case::lost_always(|_| Does::Drop, 2, 0)]
-fn a_resolver_gets_one_answer(#[case] behave: fn(usize) -> Does, #[case] rcode: u8, #[case] records: usize) {
-    let mut router = Router::start(&with_enum(&[], &[server(behave)], &json!({})));
+#[case::found(|_| Behaviour::Answer(0, vec![record_for_node(1)]), 0, 1)]
+#[case::no_such_number(|_| Behaviour::Answer(3, vec![]), 3, 0)]
+#[case::forged_replies_are_ignored(|_| Behaviour::Raw(forged_replies), 0, 1)]
+#[case::server_fails(|_| Behaviour::Answer(2, vec![]), 2, 0)]
+#[case::truncated(|_| Behaviour::Raw(truncated), 2, 0)]
+#[case::lost_once(
+    |n| if n == 0 { Behaviour::Drop } else { Behaviour::Answer(0, vec![record_for_node(1)]) }, 0, 1
+)]
+#[case::lost_always(|_| Behaviour::Drop, 2, 0)]
+fn a_resolver_gets_one_answer(
+    #[case] behaviour: fn(usize) -> Behaviour,
+    #[case] rcode: u8,
+    #[case] records: usize,
+) {
+    let mut router = Router::start(&enum_config(&[], &[start_server(behaviour)], &json!({})));
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
-    let answer = ask(&socket, to, 7, NUMBER);
+    let answer = ask(&socket, to, 7, QUERY_NAME);
     assert!(answer.is_response && answer.id == 7);
     assert_eq!((answer.rcode, answer.records.len()), (rcode, records));
     socket.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     assert!(socket.recv(&mut [0; 100]).is_err(), "a second answer");
 }
 
-/// The same rule as for set-ups: nothing goes out within 500 ms of an attempt that timed out.
+/// As for set-ups, nothing is sent within the guard time of 500 ms after an attempt that timed out.
 #[test]
-fn a_lost_query_is_repeated_only_after_its_time_out_and_the_guard() {
-    let behave = |n| if n == 0 { Does::Drop } else { Does::Answer(0, vec![to_place(1)]) };
-    let mut router = Router::start(&with_enum(&[], &[server(behave)], &json!({})));
+fn a_lost_query_is_repeated_only_after_its_time_out_and_the_guard_time() {
+    let behaviour = |n| if n == 0 { Behaviour::Drop } else { Behaviour::Answer(0, vec![record_for_node(1)]) };
+    let mut router = Router::start(&enum_config(&[], &[start_server(behaviour)], &json!({})));
     let to = router.logged_address("answering look-ups");
     let begun = Instant::now();
-    assert_eq!(ask(&bind_resolver(), to, 10, NUMBER).records.len(), 1);
+    assert_eq!(ask(&bind_resolver(), to, 10, QUERY_NAME).records.len(), 1);
     assert!(begun.elapsed() >= Duration::from_millis(700 + 500), "{:?}", begun.elapsed());
 }
 
 #[test]
-fn a_refusing_server_is_passed_over_for_the_next() {
-    let upstreams = [server(|_| Does::Answer(5, vec![])), server(|_| Does::Answer(0, vec![to_place(1)]))];
-    let mut router = Router::start(&with_enum(&[], &upstreams, &json!({})));
+fn after_a_refusal_the_next_server_is_asked() {
+    let upstreams = [
+        start_server(|_| Behaviour::Answer(5, vec![])),
+        start_server(|_| Behaviour::Answer(0, vec![record_for_node(1)])),
+    ];
+    let mut router = Router::start(&enum_config(&[], &upstreams, &json!({})));
     let to = router.logged_address("answering look-ups");
-    assert_eq!(ask(&bind_resolver(), to, 8, NUMBER).records, vec![to_place(1)]);
+    assert_eq!(ask(&bind_resolver(), to, 8, QUERY_NAME).records, vec![record_for_node(1)]);
 }
 
-fn spoilt(query: &Message, _: &[u8]) -> Vec<Vec<u8>> {
-    let mut response = dns::response(query, 0, &[to_place(1)]);
+fn corrupt(query: &Message, _: &[u8]) -> Vec<Vec<u8>> {
+    let mut response = dns::response(query, 0, &[record_for_node(1)]);
     response.truncate(response.len() - 30);
     vec![response]
 }
 
-/// Guards against waiting out an answer that came, but can't be read whole.
+/// An answer that can't be decoded in full must not cost the rest of the time-out.
 #[rstest]
-#[case::spoilt(spoilt)]
-#[case::cut_to_fit(truncated)]
-fn a_spoilt_answer_is_no_answer_and_the_next_server_is_asked(
+#[case::corrupt(corrupt)]
+#[case::truncated(truncated)]
+fn a_corrupt_answer_is_discarded_and_the_next_server_is_asked(
     #[case] make: fn(&Message, &[u8]) -> Vec<Vec<u8>>,
 ) {
-    let upstreams = [server(move |_| Does::Raw(make)), server(|_| Does::Answer(0, vec![to_place(1)]))];
-    let mut router = Router::start(&with_enum(&[], &upstreams, &json!({"query_timeout_ms": 3000})));
+    let upstreams = [
+        start_server(move |_| Behaviour::Raw(make)),
+        start_server(|_| Behaviour::Answer(0, vec![record_for_node(1)])),
+    ];
+    let mut router = Router::start(&enum_config(&[], &upstreams, &json!({"query_timeout_ms": 3000})));
     let (to, begun) = (router.logged_address("answering look-ups"), Instant::now());
-    assert_eq!(ask(&bind_resolver(), to, 8, NUMBER).records, vec![to_place(1)]);
+    assert_eq!(ask(&bind_resolver(), to, 8, QUERY_NAME).records, vec![record_for_node(1)]);
     assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
 }
 
-/// A server that cuts its datagrams and gives the whole answer over TCP, as `spoil` leaves it.
-fn server_over_tcp(spoil: fn(Vec<u8>) -> Vec<u8>) -> SocketAddr {
-    // The port of the datagrams may be taken for TCP: then with another one.
-    let both = std::iter::repeat_with(|| server(|_| Does::Raw(truncated)));
-    let (address, listener) = both.filter_map(|a| Some((a, TcpListener::bind(a).ok()?))).next().unwrap();
+/// Starts a server that truncates its datagrams and sends the full answer over TCP, changed by
+/// `corrupt_response`.
+fn start_tcp_server(corrupt_response: fn(Vec<u8>) -> Vec<u8>) -> SocketAddr {
+    // The UDP port may already be in use for TCP; if so, another one is tried.
+    let addresses = std::iter::repeat_with(|| start_server(|_| Behaviour::Raw(truncated)));
+    let (address, listener) = addresses.filter_map(|a| Some((a, TcpListener::bind(a).ok()?))).next().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut length = [0; 2];
@@ -172,24 +187,27 @@
             stream.read_exact(&mut query).unwrap();
             let mut query = dns::decode(&query).unwrap();
             query.max_response_bytes = 60_000;
-            let records: Vec<Naptr> = (0..40).map(|_| to_place(1)).collect();
-            let _ = stream.write_all(&spoil(dns::with_length_prefix(&dns::response(&query, 0, &records))));
+            let records: Vec<Naptr> = (0..40).map(|_| record_for_node(1)).collect();
+            let _ = stream
+                .write_all(&corrupt_response(dns::with_length_prefix(&dns::response(&query, 0, &records))));
         }
     });
     address
 }
 
-/// Guards against numbers with many records, which fit no datagram, and against what is cut again over TCP.
+/// A number with many records does not fit a datagram and is fetched over TCP; a corrupt answer over TCP is
+/// refused.
 #[rstest]
 #[case::whole(|bytes: Vec<u8>| bytes, " 200 ")]
-#[case::cut_off(|bytes: Vec<u8>| bytes[..100].to_vec(), " 503 ")]
+#[case::incomplete(|bytes: Vec<u8>| bytes[..100].to_vec(), " 503 ")]
 #[case::another_id(|mut bytes: Vec<u8>| { bytes[2] ^= 1; bytes }, " 503 ")]
-fn an_answer_that_fits_no_datagram_is_fetched_over_tcp(
-    #[case] spoil: fn(Vec<u8>) -> Vec<u8>,
+fn an_answer_too_long_for_a_datagram_is_fetched_over_tcp(
+    #[case] corrupt_response: fn(Vec<u8>) -> Vec<u8>,
     #[case] answer: &str,
 ) {
     let exchange = Exchange::start();
-    let mut config = with_enum(&[exchange.address], &[server_over_tcp(spoil)], &json!({"attempts": 1}));
+    let mut config =
+        enum_config(&[exchange.address], &[start_tcp_server(corrupt_response)], &json!({"attempts": 1}));
     config["enum"]["listen"] = Value::Null;
     let router = Router::start(&config);
     let mut caller = router.connect_client();
@@ -202,59 +220,61 @@
     assert!(caller.receive().first_line.contains(answer));
 }
 
-/// A reload changes the servers; a look-up in hand at one that is no longer named comes to its end there.
+/// After a reload that changes the servers, a look-up pending at a removed server still completes there.
 #[test]
-fn a_reload_changes_the_upstream_servers_and_look_ups_in_hand_go_on() {
-    let old = server(|_| Does::Later(Duration::from_millis(500), vec![to_place(1)]));
-    let new = server(|_| Does::Answer(0, vec![to_place(2)]));
-    let mut router = Router::start(&with_enum(&[], &[old], &json!({})));
+fn a_reload_changes_the_upstream_servers_and_pending_look_ups_complete() {
+    let old = start_server(|_| Behaviour::AnswerAfter(Duration::from_millis(500), vec![record_for_node(1)]));
+    let new = start_server(|_| Behaviour::Answer(0, vec![record_for_node(2)]));
+    let mut router = Router::start(&enum_config(&[], &[old], &json!({})));
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
-    socket.send_to(&dns::query(1, &name(NUMBER)), to).unwrap();
-    router.reload(&with_enum(&[], &[new], &json!({"listen": "127.0.0.1:1"})).to_string(), "reloaded");
+    socket.send_to(&dns::query(1, &name(QUERY_NAME)), to).unwrap();
+    router.reload(&enum_config(&[], &[new], &json!({"listen": "127.0.0.1:1"})).to_string(), "reloaded");
     router.wait_for_log("taken up at the next start only");
-    assert_eq!(ask(&bind_resolver(), to, 2, NUMBER).records, vec![to_place(2)]);
+    assert_eq!(ask(&bind_resolver(), to, 2, QUERY_NAME).records, vec![record_for_node(2)]);
     let mut buffer = [0; 1500];
     let length = socket.recv(&mut buffer).unwrap();
-    assert_eq!(dns::decode(&buffer[..length]).unwrap().records, vec![to_place(1)]);
+    assert_eq!(dns::decode(&buffer[..length]).unwrap().records, vec![record_for_node(1)]);
 }
 
-/// A planned restart: what is in hand and what still comes is answered, then the program ends.
+/// At a planned restart, pending look-ups and those that still arrive are answered before the program ends.
 #[test]
 fn after_sigterm_look_ups_are_still_answered() {
-    let upstream = server(|_| Does::Later(Duration::from_millis(400), vec![to_place(1)]));
-    let mut router = Router::start(&with_enum(&[], &[upstream], &json!({})));
+    let upstream =
+        start_server(|_| Behaviour::AnswerAfter(Duration::from_millis(400), vec![record_for_node(1)]));
+    let mut router = Router::start(&enum_config(&[], &[upstream], &json!({})));
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
-    socket.send_to(&dns::query(1, &name(NUMBER)), to).unwrap();
+    socket.send_to(&dns::query(1, &name(QUERY_NAME)), to).unwrap();
     router.signal("-TERM");
     router.wait_for_log("stopping");
-    assert_eq!(ask(&bind_resolver(), to, 2, NUMBER).records.len(), 1);
+    assert_eq!(ask(&bind_resolver(), to, 2, QUERY_NAME).records.len(), 1);
     assert!(socket.recv(&mut [0; 1500]).is_ok());
     assert!(router.child.wait().unwrap().success());
 }
 
-/// Guards the turn of other resolvers against a flood from one address.
+/// A flood from one address must not use up the look-ups of other resolvers.
 #[test]
-fn one_resolver_does_not_take_all_the_room() {
-    let upstream = server(|_| Does::Later(Duration::from_millis(1000), vec![to_place(1)]));
-    let config = with_enum(&[], &[upstream], &json!({"most_look_ups": 16, "query_timeout_ms": 2000}));
+fn one_resolver_does_not_take_all_look_ups() {
+    let upstream =
+        start_server(|_| Behaviour::AnswerAfter(Duration::from_millis(1000), vec![record_for_node(1)]));
+    let config = enum_config(&[], &[upstream], &json!({"most_look_ups": 16, "query_timeout_ms": 2000}));
     let mut router = Router::start(&config);
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     for id in 0..12 {
-        socket.send_to(&dns::query(id, &name(NUMBER)), to).unwrap();
+        socket.send_to(&dns::query(id, &name(QUERY_NAME)), to).unwrap();
     }
     let mut buffer = [0; 1500];
     for _ in 0..6 {
         let length = socket.recv(&mut buffer).unwrap();
-        assert_eq!(dns::decode(&buffer[..length]).unwrap().rcode, dns::SERVFAIL, "six of twelve are in hand");
+        assert_eq!(dns::decode(&buffer[..length]).unwrap().rcode, dns::SERVFAIL, "six of twelve are pending");
     }
     let other = UdpSocket::bind("127.0.0.2:0").unwrap();
     other.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    assert_eq!(ask(&other, to, 99, NUMBER).records.len(), 1);
+    assert_eq!(ask(&other, to, 99, QUERY_NAME).records.len(), 1);
 }
 
-/// A server's expression may not take the router's memory.
+/// An expression from a server that would compile to a huge program must not exhaust the router's memory.
 #[test]
-fn a_monstrous_expression_leads_nowhere() {
+fn an_expression_that_is_too_large_has_no_target() {
     let record = naptr(1, 1, "u", "E2U+sip", "!^((.{200}){200}){200}$!sip:a@place1.example!");
     assert_eq!(dns::targets(&[record], "+1"), vec![]);
 }
@@ -262,13 +282,15 @@
 #[rstest]
 #[case::not_a_number("www.e164.arpa", 3)]
 #[case::another_zone("www.example", 5)]
-fn what_is_not_served_is_refused(#[case] asked: &str, #[case] rcode: u8) {
-    let mut router = Router::start(&with_enum(&[], &[server(|_| Does::Drop)], &json!({})));
+fn queries_that_are_not_served_are_refused(#[case] asked: &str, #[case] rcode: u8) {
+    let mut router = Router::start(&enum_config(&[], &[start_server(|_| Behaviour::Drop)], &json!({})));
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     assert_eq!(ask(&socket, to, 9, asked).rcode, rcode);
-    // Garbage with a header gets FORMERR, what is a response or less than a header gets nothing.
+    // Responses and datagrams shorter than a header get no answer; other invalid messages get FORMERR.
     socket.send_to(&[1; 5], to).unwrap();
-    socket.send_to(&dns::response(&dns::decode(&dns::query(1, &name(NUMBER))).unwrap(), 0, &[]), to).unwrap();
+    socket
+        .send_to(&dns::response(&dns::decode(&dns::query(1, &name(QUERY_NAME))).unwrap(), 0, &[]), to)
+        .unwrap();
     socket.send_to(&[0, 9, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0xc0, 0x0c, 0, 35, 0, 1], to).unwrap();
     let mut buffer = [0; 100];
     let length = socket.recv(&mut buffer).unwrap();
@@ -276,17 +298,17 @@
 }
 
 #[rstest]
-#[case::found(|_| Does::Answer(0, vec![to_place(1)]), None)]
-#[case::no_such_number(|_| Does::Answer(3, vec![]), Some(404))]
-#[case::leads_elsewhere(|_| Does::Answer(0, vec![to_place(9)]), Some(404))]
-#[case::server_fails(|_| Does::Answer(2, vec![]), Some(503))]
-#[case::lost(|_| Does::Drop, Some(503))]
+#[case::found(|_| Behaviour::Answer(0, vec![record_for_node(1)]), None)]
+#[case::no_such_number(|_| Behaviour::Answer(3, vec![]), Some(404))]
+#[case::leads_elsewhere(|_| Behaviour::Answer(0, vec![record_for_node(9)]), Some(404))]
+#[case::server_fails(|_| Behaviour::Answer(2, vec![]), Some(503))]
+#[case::lost(|_| Behaviour::Drop, Some(503))]
 fn a_call_with_only_a_number_is_looked_up_and_routed(
-    #[case] behave: fn(usize) -> Does,
+    #[case] behaviour: fn(usize) -> Behaviour,
     #[case] refused: Option<u32>,
 ) {
     let exchange = Exchange::start();
-    let router = Router::start(&with_enum(&[exchange.address], &[server(behave)], &json!({})));
+    let router = Router::start(&enum_config(&[exchange.address], &[start_server(behaviour)], &json!({})));
     let mut caller = router.connect_client();
     caller.wait_until_ready();
     let begun = Instant::now();
@@ -302,16 +324,19 @@
     assert!(begun.elapsed() < Duration::from_millis(2000) + TIMING_TOLERANCE);
 }
 
-/// A fifth of the queries is lost and the rest is late by seconds: each call still gets its one answer.
+/// When a fifth of the queries is lost and the rest is answered seconds late, each call still gets one
+/// answer.
 #[rstest]
 fn with_slow_and_lossy_servers_every_call_gets_exactly_one_answer_in_time(#[values(1, 3)] servers: usize) {
     const CALLS: u32 = 40;
-    let late = |n| Does::Later(Duration::from_millis(1000 + 400 * (n as u64 % 4)), vec![to_place(1)]);
-    let lossy = || server(move |n| if n % 5 == 4 { Does::Drop } else { late(n) });
+    let late = |n| {
+        Behaviour::AnswerAfter(Duration::from_millis(1000 + 400 * (n as u64 % 4)), vec![record_for_node(1)])
+    };
+    let lossy = || start_server(move |n| if n % 5 == 4 { Behaviour::Drop } else { late(n) });
     let upstreams: Vec<SocketAddr> = (0..servers).map(|_| lossy()).collect();
     let exchange = Exchange::start();
     let slow = json!({"query_timeout_ms": 2500, "share": 0.6, "answer_within_ms": 6000});
-    let router = Router::start(&with_enum(&[exchange.address], &upstreams, &slow));
+    let router = Router::start(&enum_config(&[exchange.address], &upstreams, &slow));
     let mut caller = router.connect_client();
     caller.wait_until_ready();
     let address = exchange.address;
@@ -327,27 +352,28 @@
         let id = format!("{:016x}", 0xf00 + call);
         caller.send_request("INVITE", &id, headers, BODY);
         asked.insert(id, Instant::now());
-        thread::sleep(Duration::from_millis(50)); // the callers' own pace
+        thread::sleep(Duration::from_millis(50)); // one call every 50 ms
     }
-    let (mut stood, mut answered) = (0, HashSet::new());
+    let (mut established, mut answered) = (0, HashSet::new());
     while answered.len() < asked.len() {
         let answer = caller.receive();
         let id = answer.head.lines().find_map(|l| l.strip_prefix("Call-ID: ")).unwrap().to_owned();
         assert!(asked[&id].elapsed() < Duration::from_secs(8) + TIMING_TOLERANCE, "{id} too late");
-        stood += u32::from(answer.first_line.contains(" 200 "));
+        established += u32::from(answer.first_line.contains(" 200 "));
         assert!(answered.insert(id), "a second answer");
     }
-    assert!(caller.receive_within(Duration::from_millis(500)).is_none(), "one answer too many");
-    assert!(stood > 0, "no call stood");
-    println!("{stood} of {CALLS} stood with {servers} servers");
+    assert!(caller.receive_within(Duration::from_millis(500)).is_none(), "an extra answer");
+    assert!(established > 0, "no call was established");
+    println!("{established} of {CALLS} established with {servers} servers");
 }
 
-/// A flood of look-ups does not hold up set-ups, nor the look-ups that calls need.
+/// A flood of look-ups must not delay set-ups or the look-ups for calls.
 #[test]
 fn a_flood_of_look_ups_does_not_starve_set_ups() {
     let exchange = Exchange::start();
-    let upstream = server(|_| Does::Later(Duration::from_millis(300), vec![to_place(1)]));
-    let config = with_enum(&[exchange.address], &[upstream], &json!({"most_look_ups": 64}));
+    let upstream =
+        start_server(|_| Behaviour::AnswerAfter(Duration::from_millis(300), vec![record_for_node(1)]));
+    let config = enum_config(&[exchange.address], &[upstream], &json!({"most_look_ups": 64}));
     let mut router = Router::start(&config);
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
     let mut caller = router.connect_client();
@@ -355,10 +381,10 @@
     thread::scope(|scope| {
         let flood = scope.spawn(|| {
             for n in 0..20_000u32 {
-                let query = dns::query(n as u16, &name(&format!("{}.{}.{NUMBER}", n / 10 % 10, n % 10)));
+                let query = dns::query(n as u16, &name(&format!("{}.{}.{QUERY_NAME}", n / 10 % 10, n % 10)));
                 socket.send_to(&query, to).unwrap();
                 if n % 100 == 0 {
-                    thread::sleep(Duration::from_millis(5)); // some 20,000 a second
+                    thread::sleep(Duration::from_millis(5)); // about 20,000 queries per second
                 }
             }
         });
@@ -378,15 +404,15 @@
     });
 }
 
-// ---- DNS by hand -------------------------------------------------------------------------------
+// ---- DNS codec ---------------------------------------------------------------------------------
 
 #[rstest]
-#[case::own_place(&[0xc0, 0x0c])]
-#[case::forward(&[0xc0, 0x20])]
-#[case::circle(&[1, b'a', 0xc0, 0x0c])]
-#[case::reserved(&[0x80, 0])]
-#[case::cut_short(&[5, b'a'])]
-fn a_bad_name_is_no_message(#[case] bytes: &[u8]) {
+#[case::pointer_to_itself(&[0xc0, 0x0c])]
+#[case::pointer_forward(&[0xc0, 0x20])]
+#[case::pointer_loop(&[1, b'a', 0xc0, 0x0c])]
+#[case::reserved_label_type(&[0x80, 0])]
+#[case::incomplete_label(&[5, b'a'])]
+fn a_message_with_an_invalid_name_is_rejected(#[case] bytes: &[u8]) {
     let mut message = vec![0, 1, 1, 0, 0, 1, 0, 0, 0, 0, 0, 0];
     message.extend_from_slice(bytes);
     message.extend([0, 35, 0, 1]);
@@ -394,19 +420,19 @@
 }
 
 #[test]
-fn a_compressed_answer_is_read() {
-    let mut bytes = dns::query(5, &name(NUMBER));
+fn a_compressed_answer_is_decoded() {
+    let mut bytes = dns::query(5, &name(QUERY_NAME));
     bytes.truncate(bytes.len() - 11);
     bytes[2] |= 0x80;
     bytes[7] = 1;
     bytes[11] = 0;
     bytes.extend([0xc0, 0x0c, 0, 35, 0, 1, 0, 0, 0, 60, 0, 9, 0, 1, 0, 2, 0, 0, 0, 0xc0, 0x0c]);
     let message = dns::decode(&bytes).unwrap();
-    assert_eq!(dns::targets(&message.records, "+1"), vec![Target::Name(name(NUMBER))]);
+    assert_eq!(dns::targets(&message.records, "+1"), vec![Target::Name(name(QUERY_NAME))]);
 }
 
 #[test]
-fn leads_come_by_order_then_preference_and_only_usable_ones() {
+fn usable_targets_are_sorted_by_order_then_preference() {
     let records = [
         naptr(20, 1, "u", "E2U+sip", "!^.*$!sip:third@example!"),
         naptr(10, 9, "U", "e2u+SIP", "!^\\+386(.*)$!sip:\\1@second.example!"),
@@ -417,18 +443,18 @@
         naptr(10, 5, "u", "E2U+pres+sip", "#^\\+386(1)#SIP:\\1\\#x@FIRST.example:5060;a=b#i"),
     ];
     let uris = ["SIP:1#x@FIRST.example:5060;a=b2345", "sip:12345@second.example", "sip:third@example"];
-    let leads = dns::targets(&records, "+38612345");
-    assert_eq!(leads, uris.map(|u| Target::Uri(u.to_owned())));
+    let targets = dns::targets(&records, "+38612345");
+    assert_eq!(targets, uris.map(|u| Target::Uri(u.to_owned())));
     assert_eq!(dns::sip_uri_host(uris[0]), Some("FIRST.example"));
 }
 
-// ---- VRRP --------------------------------------------------------------------------------------
+// ---- VRRP state machine ------------------------------------------------------------------------
 
-fn setup(priority: u8, preempt: bool) -> Config {
+fn vrrp_config(priority: u8, preempt: bool) -> Config {
     Config { vrid: 7, priority, interval_cs: 100, preempt, addresses: vec![[10, 0, 0, 1].into()] }
 }
 
-fn advert(priority: u8) -> Vec<u8> {
+fn advertisement(priority: u8) -> Vec<u8> {
     let addresses = vec![[10, 0, 0, 1].into()];
     Advertisement { vrid: 7, priority, interval_cs: 100, addresses }.encode()
 }
@@ -442,50 +468,55 @@
 }
 
 #[test]
-fn a_backup_takes_over_after_three_intervals_and_its_skew_and_stops_with_priority_zero() {
-    let mut router = Virtual::new(setup(128, true), address(5));
+fn a_backup_takes_over_after_three_intervals_and_its_skew_time_and_stops_with_priority_zero() {
+    let mut router = VirtualRouter::new(vrrp_config(128, true), address(5));
     assert_eq!(router.state(), State::Initialize);
     assert_eq!(router.start(ms(0)), None);
     assert_eq!((router.state(), router.next_due()), (State::Backup, Some(ms(3500))));
-    router.receive(ms(1000), address(9), &advert(128)).unwrap();
+    router.receive(ms(1000), address(9), &advertisement(128)).unwrap();
     assert_eq!(router.on_timer(ms(4499)), None);
-    assert_eq!(router.on_timer(ms(4500)), Some(advert(128)));
+    assert_eq!(router.on_timer(ms(4500)), Some(advertisement(128)));
     assert_eq!((router.state(), router.next_due()), (State::Active, Some(ms(5500))));
-    assert_eq!(router.stop(ms(5000)), Some(advert(0)));
+    assert_eq!(router.stop(ms(5000)), Some(advertisement(0)));
     assert_eq!((router.state(), router.next_due()), (State::Initialize, None));
 }
 
 #[rstest]
-#[case::stops(true, 0, State::Backup, 500)]
+#[case::sender_stops(true, 0, State::Backup, 500)]
 #[case::lower_is_preempted(true, 50, State::Backup, 3500)]
-#[case::lower_is_left(false, 50, State::Backup, 4500)]
+#[case::lower_is_not_preempted(false, 50, State::Backup, 4500)]
 #[case::higher(true, 200, State::Backup, 4500)]
-fn a_backup_hears(#[case] preempt: bool, #[case] priority: u8, #[case] state: State, #[case] due: u64) {
-    let mut router = Virtual::new(setup(128, preempt), address(5));
+fn a_backup_handles_an_advertisement(
+    #[case] preempt: bool,
+    #[case] priority: u8,
+    #[case] state: State,
+    #[case] due: u64,
+) {
+    let mut router = VirtualRouter::new(vrrp_config(128, preempt), address(5));
     router.start(ms(0));
     let at = if priority == 0 { ms(0) } else { ms(1000) };
-    assert_eq!(router.receive(at, address(9), &advert(priority)), Ok(None));
+    assert_eq!(router.receive(at, address(9), &advertisement(priority)), Ok(None));
     assert_eq!((router.state(), router.next_due()), (state, Some(ms(due))));
 }
 
 #[rstest]
-#[case::stops(0, 9, State::Active)]
+#[case::sender_stops(0, 9, State::Active)]
 #[case::lower(50, 9, State::Active)]
 #[case::higher(200, 1, State::Backup)]
 #[case::equal_with_higher_address(128, 9, State::Backup)]
 #[case::equal_with_lower_address(128, 1, State::Active)]
-fn an_active_router_hears(#[case] priority: u8, #[case] port: u16, #[case] state: State) {
-    let mut router = Virtual::new(setup(128, true), address(5));
+fn an_active_router_handles_an_advertisement(#[case] priority: u8, #[case] port: u16, #[case] state: State) {
+    let mut router = VirtualRouter::new(vrrp_config(128, true), address(5));
     router.start(ms(0));
     router.on_timer(ms(3500));
-    let reply = router.receive(ms(3600), address(port), &advert(priority)).unwrap();
+    let reply = router.receive(ms(3600), address(port), &advertisement(priority)).unwrap();
     assert_eq!((router.state(), reply.is_some()), (state, state == State::Active));
 }
 
 #[test]
 fn the_owner_starts_active() {
-    let mut router = Virtual::new(setup(255, true), address(5));
-    assert_eq!(router.start(ms(0)), Some(advert(255)));
+    let mut router = VirtualRouter::new(vrrp_config(255, true), address(5));
+    assert_eq!(router.start(ms(0)), Some(advertisement(255)));
     assert_eq!(router.state(), State::Active);
 }
 
@@ -494,27 +525,27 @@
 #[case::kind(0, 0x32, "no advertisement")]
 #[case::count(3, 2, "wrong number of addresses")]
 #[case::checksum(6, 0xff, "wrong checksum")]
-fn a_bad_advertisement_is_discarded(#[case] at: usize, #[case] byte: u8, #[case] why: &str) {
-    let mut bytes = advert(100);
+fn a_bad_advertisement_is_discarded(#[case] at: usize, #[case] byte: u8, #[case] reason: &str) {
+    let mut bytes = advertisement(100);
     bytes[at] = byte;
-    let mut router = Virtual::new(setup(128, true), address(5));
+    let mut router = VirtualRouter::new(vrrp_config(128, true), address(5));
     router.start(ms(0));
-    assert_eq!(router.receive(ms(1), address(9), &bytes), Err(why));
+    assert_eq!(router.receive(ms(1), address(9), &bytes), Err(reason));
     assert_eq!(router.receive(ms(1), address(9), &bytes[..5]), Err("too short"));
     let other =
         Advertisement { vrid: 8, priority: 1, interval_cs: 100, addresses: vec![[10, 0, 0, 1].into()] };
     assert_eq!(router.receive(ms(1), address(9), &other.encode()), Err("another virtual router"));
 }
 
-/// Two routers, their advertisements carried by the test: only the active one answers look-ups.
+/// Two routers exchange advertisements through the test; only the active one answers look-ups.
 #[rstest]
 #[case::stopped("-TERM")]
 #[case::killed("-KILL")]
 fn of_two_routers_only_the_active_answers_and_the_other_takes_over(#[case] signal: &str) {
-    let upstream = server(|_| Does::Answer(0, vec![to_place(1)]));
+    let upstream = start_server(|_| Behaviour::Answer(0, vec![record_for_node(1)]));
     let ends = [bind_resolver(), bind_resolver()];
     let start = |priority: u8, end: &UdpSocket| {
-        let mut config = with_enum(&[], &[upstream], &json!({}));
+        let mut config = enum_config(&[], &[upstream], &json!({}));
         config["vrrp"] = json!({"listen": "127.0.0.1:0", "peers": [end.local_addr().unwrap().to_string()],
             "vrid": 7, "priority": priority, "interval_cs": 50, "addresses": ["10.0.0.1"]});
         let mut router = Router::start(&config);
@@ -535,23 +566,24 @@
         });
     }
     first.wait_for_log("state: Active");
-    assert_eq!(ask(&bind_resolver(), first_look_ups, 1, NUMBER).records.len(), 1);
+    assert_eq!(ask(&bind_resolver(), first_look_ups, 1, QUERY_NAME).records.len(), 1);
     let socket = bind_resolver();
-    socket.send_to(&dns::query(2, &name(NUMBER)), second_look_ups).unwrap();
+    socket.send_to(&dns::query(2, &name(QUERY_NAME)), second_look_ups).unwrap();
     socket.set_read_timeout(Some(ms(300))).unwrap();
-    assert!(socket.recv(&mut [0; 100]).is_err(), "a backup answered");
+    assert!(socket.recv(&mut [0; 100]).is_err(), "the backup answered");
     first.signal(signal);
     second.wait_for_log("state: Active");
-    assert_eq!(ask(&bind_resolver(), second_look_ups, 3, NUMBER).records.len(), 1);
+    assert_eq!(ask(&bind_resolver(), second_look_ups, 3, QUERY_NAME).records.len(), 1);
     assert_eq!(first.child.wait().unwrap().success(), signal == "-TERM");
 }
 
-/// A reload changes the priority; the active router stays active and never says that it stops.
+/// After a reload that changes the priority, the active router stays active and sends no advertisement of
+/// priority 0.
 #[test]
-fn a_reload_does_not_make_the_virtual_router_flap() {
+fn a_reload_does_not_interrupt_the_active_state() {
     let end = bind_resolver();
     let config = |priority: u8| {
-        let mut config = with_enum(&[], &[server(|_| Does::Drop)], &json!({}));
+        let mut config = enum_config(&[], &[start_server(|_| Behaviour::Drop)], &json!({}));
         config["vrrp"] = json!({"listen": "127.0.0.1:0", "peers": [end.local_addr().unwrap().to_string()],
             "vrid": 7, "priority": priority, "interval_cs": 10, "addresses": ["10.0.0.1"]});
         config
@@ -567,8 +599,8 @@
     let mut last = heard();
     while last.1 == 100 {
         let next = heard();
-        assert!(next.0 - last.0 < ms(300), "a gap: {:?}", next.0 - last.0);
+        assert!(next.0 - last.0 < ms(300), "gap between advertisements: {:?}", next.0 - last.0);
         last = next;
     }
-    assert_eq!(last.1, 150, "it stepped down");
+    assert_eq!(last.1, 150, "the router stopped being active");
 }
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what the router talks to, and the router itself as a process.
+//! Runs the router as a process, together with emulated clients, exchanges, coordinators and DNS servers.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,26 +11,27 @@
 
 use serde_json::{json, Value};
 
-/// No wait is longer than this.
+/// Maximum time that a test waits for an event.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a busy machine may add to a measured time.
+/// Allowance for delays of a busy machine in measured times.
 pub const TIMING_TOLERANCE: Duration = Duration::from_millis(300);
 
+/// Returns a loopback address whose port the system assigns.
 pub fn ephemeral_address() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// Waits for a condition.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let begun = Instant::now();
+/// Waits until a condition holds.
+pub fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
+    let start = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < WAIT_TIMEOUT, "waited too long: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {condition}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The program, started with a configuration; killed at the end of the test.
+/// A router process, which is killed when the value is dropped.
 pub struct Router {
     pub child: Child,
     pub listen_address: SocketAddr,
@@ -40,6 +41,7 @@
     console_lines: Receiver<String>,
 }
 
+/// Reads lines on a separate thread and sends them to the returned channel.
 fn read_lines(from: impl Read + Send + 'static) -> Receiver<String> {
     let (sender, receiver) = channel();
     thread::spawn(move || {
@@ -72,14 +74,16 @@
         router
     }
 
-    /// Waits for a line of the log that holds a text.
+    /// Returns the first log line that contains a text, and waits for it if necessary.
     pub fn wait_for_log(&mut self, text: &str) -> String {
         if let Some(line) = self.logged_lines.iter().find(|l| l.contains(text)) {
             return line.clone();
         }
         loop {
-            let line =
-                self.log_lines.recv_timeout(WAIT_TIMEOUT).unwrap_or_else(|_| panic!("not logged: {text}"));
+            let line = self
+                .log_lines
+                .recv_timeout(WAIT_TIMEOUT)
+                .unwrap_or_else(|_| panic!("not logged within the time-out: {text}"));
             self.logged_lines.push(line.clone());
             if line.contains(text) {
                 return line;
@@ -87,26 +91,27 @@
         }
     }
 
-    /// The address in such a line.
-    pub fn logged_address(&mut self, text: &str) -> SocketAddr {
-        let line = self.wait_for_log(&format!("{text}, "));
+    /// Returns the listening address in the first log line with this message.
+    pub fn logged_address(&mut self, message: &str) -> SocketAddr {
+        let line = self.wait_for_log(&format!("{message}, "));
         let rest = &line[line.find("listen: ").unwrap() + 8..];
         rest.split(',').next().unwrap().trim().parse().unwrap()
     }
 
-    /// Types a command and returns the first line of its answer.
+    /// Enters a console command and returns the first line of its output.
     pub fn command(&mut self, line: &str) -> String {
         writeln!(self.child.stdin.as_mut().unwrap(), "{line}").unwrap();
         self.console_lines.recv_timeout(WAIT_TIMEOUT).unwrap()
     }
 
-    /// Replaces the configuration file and asks for it to be read.
-    pub fn reload(&mut self, text: &str, logged: &str) {
+    /// Replaces the configuration file, requests a reload and waits for a log line that contains `expected`.
+    pub fn reload(&mut self, text: &str, expected: &str) {
         std::fs::write(&self.config_file, text).unwrap();
         self.signal("-HUP");
-        self.wait_for_log(logged);
+        self.wait_for_log(expected);
     }
 
+    /// Sends a signal, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
@@ -124,6 +129,7 @@
     }
 }
 
+/// Writes a configuration to a new file and returns its path.
 pub fn write_config_file(config: &Value) -> std::path::PathBuf {
     static COUNT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let count = COUNT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -132,18 +138,19 @@
     file.into()
 }
 
-/// A configuration with exchanges at places 1, 2 and so on.
+/// Returns a configuration in which the exchanges serve nodes 1, 2 and so on.
 pub fn router_config(exchanges: &[SocketAddr]) -> Value {
     let host = |(i, a): (usize, &SocketAddr)| {
         json!({"host": format!("s-{:08x}", i + 1), "dial": a.to_string(), "site": "east", "class": "std",
             "block": i + 1, "health": "active", "share": 1, "born_ms": 0})
     };
     let hosts: Vec<Value> = exchanges.iter().enumerate().map(host).collect();
-    let class = json!({"Name": "voice", "AimNs": 2_000_000_000u64, "DeadlineNs": 9_000_000_000u64, "Worth": 1.0,
-        "LateShare": 0.1, "Effect": "safe"});
+    let class = json!({"Name": "voice", "AimNs": 2_000_000_000u64, "DeadlineNs": 9_000_000_000u64,
+        "Worth": 1.0, "LateShare": 0.1, "Effect": "safe"});
     json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024},
     "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]},
-    "settings": {"Classes": [class], "FleetSize": 3, "Me": 0, "Dcs": ["east"], "Clients": {"MarksRetry": true}, "TickNs": 5_000_000,
+    "settings": {"Classes": [class], "FleetSize": 3, "Me": 0, "Dcs": ["east"],
+        "Clients": {"MarksRetry": true}, "TickNs": 5_000_000,
         "Domain": {"OwnNumber": 0, "Topology": "meshed", "GuardNs": 500_000_000, "ChannelsNeeded": [1]},
         "Stats": {"Names": ["spare", "total", "lat_ms"]},
         "Contract": {"DrainGraceNs": 500_000_000, "ColdFrom": 0.28, "ColdNs": 14_000_000_000u64,
@@ -152,7 +159,7 @@
             "MaxRetryAfterNs": 2_000_000_000, "ConnectTimeoutNs": 500_000_000}}})
 }
 
-/// One message of SIP: first line, headers and body.
+/// A SIP message: first line, head (first line and headers) and body.
 #[derive(Debug, Clone)]
 pub struct SipMessage {
     pub first_line: String,
@@ -161,17 +168,18 @@
 }
 
 impl SipMessage {
+    /// Returns whether the head contains exactly this line.
     pub fn has_header_line(&self, header: &str) -> bool {
         self.head.lines().any(|l| l == header)
     }
 }
 
-/// A caller's connection.
+/// A client's connection to the router.
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
-    pub fn connect(to: SocketAddr) -> Self {
-        let stream = TcpStream::connect(to).unwrap();
+    pub fn connect(router: SocketAddr) -> Self {
+        let stream = TcpStream::connect(router).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self(BufReader::new(stream))
     }
@@ -183,8 +191,8 @@
     pub fn send_request(&mut self, method: &str, call: &str, headers: &str, body: &str) {
         let length = body.len();
         self.send(&format!(
-            "{method} sip:+38612345@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\nCSeq: 1 {method}\r\n\
-             {headers}Content-Length: {length}\r\n\r\n{body}"
+            "{method} sip:+38612345@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {call}\r\n\
+             CSeq: 1 {method}\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
         ));
     }
 
@@ -198,9 +206,9 @@
         );
     }
 
-    /// The next message; `None` at the end of the connection or after the time given.
-    pub fn receive_within(&mut self, limit: Duration) -> Option<SipMessage> {
-        self.0.get_ref().set_read_timeout(Some(limit)).unwrap();
+    /// Returns the next message, or `None` if the connection ends or the time passes first.
+    pub fn receive_within(&mut self, timeout: Duration) -> Option<SipMessage> {
+        self.0.get_ref().set_read_timeout(Some(timeout)).unwrap();
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
             if self.0.read_line(&mut head).ok()? == 0 {
@@ -218,9 +226,9 @@
         self.receive_within(WAIT_TIMEOUT).expect("a message")
     }
 
-    /// Waits until the router passes its test: its exchanges have been reached.
+    /// Waits until the router answers OPTIONS with 200, which it does once its exchanges have been reached.
     pub fn wait_until_ready(&mut self) {
-        wait_until("ready", || {
+        wait_until("router ready", || {
             self.send_request("OPTIONS", "0", "", "");
             self.receive().first_line.contains(" 200 ")
         });
@@ -229,11 +237,12 @@
 
 pub const BODY: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\"quoted\\\" \u{1} žnidar\r\n";
 
-/// A booking exchange: it tells its group's state on each connection, and gives the test what it hears.
+/// An emulated booking exchange. It reports the state of its trunk group on each new connection and passes
+/// the messages it receives to the test.
 pub struct Exchange {
     pub address: SocketAddr,
     received: Receiver<(Value, TcpStream, Instant)>,
-    /// Connections taken so far.
+    /// Connections accepted so far.
     pub connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
@@ -242,22 +251,23 @@
         let listener = TcpListener::bind(ephemeral_address()).unwrap();
         let (address, (sender, received)) = (listener.local_addr().unwrap(), channel());
         let connections = Arc::new(Mutex::new(Vec::new()));
-        let all = connections.clone();
+        let accepted = connections.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                // Told before a test gets hold of the connection, so that no two lines are mixed.
+                // Sent before the test can use the connection, so that its lines and this one are not
+                // interleaved.
                 let load =
                     json!({"verb": "LOAD", "tag": "", "opts": {"load": "spare:500;total:500;lat_ms:-1"}});
                 let _ = (&stream).write_all(format!("{load}\n").as_bytes());
-                all.lock().unwrap().push(stream.try_clone().unwrap());
+                accepted.lock().unwrap().push(stream.try_clone().unwrap());
                 let sender = sender.clone();
-                thread::spawn(move || Self::serve(&stream, &sender));
+                thread::spawn(move || Self::read_messages(&stream, &sender));
             }
         });
         Self { address, received, connections }
     }
 
-    fn serve(stream: &TcpStream, sender: &Sender<(Value, TcpStream, Instant)>) {
+    fn read_messages(stream: &TcpStream, sender: &Sender<(Value, TcpStream, Instant)>) {
         for line in BufReader::new(stream).lines().map_while(Result::ok) {
             let value = serde_json::from_str(&line).unwrap();
             if sender.send((value, stream.try_clone().unwrap(), Instant::now())).is_err() {
@@ -266,15 +276,18 @@
         }
     }
 
-    /// The next message of a kind, the connection it came on, and when.
+    /// Returns the next message of a kind, the connection on which it arrived, and the time. Other messages
+    /// are discarded.
     pub fn receive(&self, verb: &str) -> (Value, TcpStream, Instant) {
         self.receive_within(verb, WAIT_TIMEOUT).unwrap_or_else(|| panic!("no {verb}"))
     }
 
-    pub fn receive_within(&self, verb: &str, limit: Duration) -> Option<(Value, TcpStream, Instant)> {
-        let end = Instant::now() + limit;
+    /// Like [`Exchange::receive`], but returns `None` if the time passes first.
+    pub fn receive_within(&self, verb: &str, timeout: Duration) -> Option<(Value, TcpStream, Instant)> {
+        let deadline = Instant::now() + timeout;
         loop {
-            let received = self.received.recv_timeout(end.saturating_duration_since(Instant::now())).ok()?;
+            let received =
+                self.received.recv_timeout(deadline.saturating_duration_since(Instant::now())).ok()?;
             if received.0["verb"] == verb {
                 return Some(received);
             }
@@ -282,7 +295,7 @@
     }
 }
 
-/// Says something as an exchange.
+/// Sends a message as an exchange.
 pub fn send_message(mut stream: &TcpStream, message: &Value) {
     stream.write_all(format!("{message}\n").as_bytes()).unwrap();
 }
@@ -295,34 +308,34 @@
     send_message(stream, &json!({"verb": "FINISH", "tag": call, "opts": {"note": note}, "rc": cause}));
 }
 
-/// A coordinator's listener, and its address as it stands in a configuration.
+/// Returns a coordinator's listener, and its address as a value for the configuration.
 pub fn bind_coordinator() -> (TcpListener, Value) {
     let listener = TcpListener::bind(ephemeral_address()).unwrap();
     let address = listener.local_addr().unwrap().to_string();
     (listener, json!(address))
 }
 
-/// Takes the router's connection and the number of the last event it has.
+/// Accepts the router's connection and reads the number of the last event that the router has received.
 pub fn accept_coordinator_connection(listener: &TcpListener) -> (TcpStream, u64) {
     let (mut stream, _) = listener.accept().unwrap();
-    let mut last = [0; 8];
-    stream.read_exact(&mut last).unwrap();
-    (stream, u64::from_be_bytes(last))
+    let mut last_event = [0; 8];
+    stream.read_exact(&mut last_event).unwrap();
+    (stream, u64::from_be_bytes(last_event))
 }
 
-/// An event with one record: exchange `id` at place 1.
-pub fn coordinator_frame(number: u64, id: u32, state: u8, at: SocketAddr) -> Vec<u8> {
+/// Encodes an event with one record: exchange `id`, which serves node 1.
+pub fn coordinator_frame(event_number: u64, id: u32, state: u8, address: SocketAddr) -> Vec<u8> {
     let mut frame = vec![0, 0, 0, 36];
-    frame.extend(number.to_be_bytes());
+    frame.extend(event_number.to_be_bytes());
     frame.push(2);
     frame.extend(id.to_be_bytes());
     frame.extend([127, 0, 0, 1]);
-    frame.extend(at.port().to_be_bytes());
+    frame.extend(address.port().to_be_bytes());
     frame.extend([state, 0, 0, 0, 1, 0, 0, 3, 232, 0, 0, 0, 0, 0, 0, 0, 0]);
     frame
 }
 
-/// A resolver's socket.
+/// Returns a socket from which to send queries as a resolver.
 pub fn bind_resolver() -> UdpSocket {
     let socket = UdpSocket::bind(ephemeral_address()).unwrap();
     socket.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
--- a/tests/protocols.rs
+++ b/tests/protocols.rs
@@ -1,4 +1,4 @@
-//! The protocols fed by hand: cut anywhere, garbled anyhow.
+//! Tests of the protocol decoders with input split at any point and with corrupted input.
 
 use quartzspindle::protocol::{coordinator, dns, jsonl, sip, vrrp::Advertisement};
 use rstest::rstest;
@@ -7,8 +7,9 @@
     b"\r\n\r\nINVITE sip:7f3a@net SIP/2.0\r\nVia: a\r\n b\r\ncall-id: 9b\r\nCSeq: 1 INVITE\r\n\
     Content-Length: 4\r\n\r\n\r\n\xc3\xa9SIP/2.0 200 OK\r\nCall-ID: 9c\r\nContent-Length: 0\r\n\r\n";
 
-const LINES: &[u8] = b"{\"verb\":\"FINISH\",\"tag\":\"9b\",\"opts\":{\"note\":\"group_full\",\"load\":\"spare:1\",\
-    \"n\":[1,{\"a\":null}]},\"rc\":34}\n\n {\"blob\":\"\\u00e9\\ud83d\\ude00\\r\\n\\/\",\"verb\":\"STARTED\",\"tag\":7}\n";
+const LINES: &[u8] = b"{\"verb\":\"FINISH\",\"tag\":\"9b\",\"opts\":{\"note\":\"group_full\",\
+    \"load\":\"spare:1\",\"n\":[1,{\"a\":null}]},\"rc\":34}\n\n\
+    \x20{\"blob\":\"\\u00e9\\ud83d\\ude00\\r\\n\\/\",\"verb\":\"STARTED\",\"tag\":7}\n";
 
 fn frames() -> Vec<u8> {
     let mut bytes = vec![0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 0, 4, 0];
@@ -17,21 +18,22 @@
     bytes
 }
 
-/// Everything that a decoder says of a stream that comes in pieces of a size.
-fn pieces<T>(bytes: &[u8], size: usize, feed: impl FnMut(&[u8]) -> Vec<T>) -> Vec<T> {
+/// Feeds a stream to a decoder in pieces of a given size and returns everything that it decodes.
+fn decode_in_pieces<T>(bytes: &[u8], size: usize, feed: impl FnMut(&[u8]) -> Vec<T>) -> Vec<T> {
     bytes.chunks(size).flat_map(feed).collect()
 }
 
-fn all<T, E: std::fmt::Debug>(mut take: impl FnMut() -> Result<Option<T>, E>) -> Vec<T> {
-    std::iter::from_fn(|| take().unwrap()).collect()
+/// Collects results until there are no more.
+fn collect_all<T, E: std::fmt::Debug>(mut next: impl FnMut() -> Result<Option<T>, E>) -> Vec<T> {
+    std::iter::from_fn(|| next().unwrap()).collect()
 }
 
 #[rstest]
-fn a_stream_reads_the_same_however_it_is_cut(#[values(1, 2, 3, 7, 50, 1000)] size: usize) {
+fn decoders_do_not_depend_on_how_a_stream_is_split(#[values(1, 2, 3, 7, 50, 1000)] size: usize) {
     let mut decoder = sip::Decoder::default();
-    let messages = pieces(INVITE, size, |p| {
+    let messages = decode_in_pieces(INVITE, size, |p| {
         decoder.feed(p);
-        all(|| decoder.next_message())
+        collect_all(|| decoder.next_message())
     });
     assert_eq!(messages.len(), 2);
     assert_eq!(
@@ -43,17 +45,17 @@
     assert_eq!(messages[1].start_line, sip::StartLine::Response(200));
 
     let mut decoder = jsonl::Decoder::default();
-    let lines = pieces(LINES, size, |p| {
+    let lines = decode_in_pieces(LINES, size, |p| {
         decoder.feed(p);
-        all(|| decoder.next_message())
+        collect_all(|| decoder.next_message())
     });
     assert_eq!((lines[0].cause, lines[0].note.as_deref(), lines.len()), (Some(34), Some("group_full"), 2));
     assert_eq!((lines[1].blob.as_deref(), lines[1].tag.as_str()), (Some("é😀\r\n/"), "7"));
 
     let mut decoder = coordinator::Decoder::default();
-    let frames = pieces(&frames(), size, |p| {
+    let frames = decode_in_pieces(&frames(), size, |p| {
         decoder.feed(p);
-        all(|| decoder.next_frame())
+        collect_all(|| decoder.next_frame())
     });
     assert_eq!((frames[0].event_number, &frames[0].update), (4, &None));
     let list = frames[1].update.as_ref().unwrap();
@@ -64,17 +66,17 @@
 }
 
 #[test]
-fn descriptions_pass_through_the_writer_and_the_reader_byte_for_byte() {
+fn descriptions_survive_encoding_and_decoding_unchanged() {
     let blob: String = (0..0x300u32).filter_map(char::from_u32).chain(['\u{10ffff}', '"', '\\']).collect();
     let line = jsonl::start("t\"ag", "voice", "+386", 1500, &blob);
     let mut decoder = jsonl::Decoder::default();
     decoder.feed(&line);
-    let read = decoder.next_message().unwrap().unwrap();
-    assert_eq!((read.blob, read.tag.as_str()), (Some(blob), "t\"ag"));
+    let decoded = decoder.next_message().unwrap().unwrap();
+    assert_eq!((decoded.blob, decoded.tag.as_str()), (Some(blob), "t\"ag"));
 }
 
 #[test]
-fn what_never_ends_is_cut_off() {
+fn input_that_never_ends_is_rejected() {
     let mut sip = sip::Decoder::default();
     sip.feed(&[b'a'; 20_000]);
     assert_eq!(sip.next_message().unwrap_err().status, 513);
@@ -86,15 +88,15 @@
     assert!(frames.next_frame().is_err());
 }
 
-/// Whatever comes, a decoder ends with a message, a wish for more or an error, and never in a panic.
+/// On any input a decoder returns a message, asks for more bytes or returns an error, and never panics.
 #[test]
-fn no_garbled_input_panics() {
+fn corrupted_input_causes_no_panic() {
     let query = dns::query(1, &dns::Name::parse("1.2.3.e164.arpa").unwrap());
     let advertisement =
         Advertisement { vrid: 1, priority: 1, interval_cs: 1, addresses: vec![[10, 0, 0, 1].into()] }
             .encode();
     let mut rng = fastrand::Rng::with_seed(7);
-    let (mut read, mut failed) = (0, 0);
+    let (mut decoded, mut rejected) = (0, 0);
     for sample in [INVITE.to_vec(), LINES.to_vec(), frames(), query, advertisement] {
         for _ in 0..4000 {
             let mut bytes = sample.clone();
@@ -115,16 +117,16 @@
             lines.feed(&bytes);
             let mut frames = coordinator::Decoder::default();
             frames.feed(&bytes);
-            let ends = [
+            let has_error = [
                 std::iter::from_fn(|| sip.next_message().transpose()).take(9).any(|r| r.is_err()),
                 std::iter::from_fn(|| lines.next_message().transpose()).take(9).any(|r| r.is_err()),
                 std::iter::from_fn(|| frames.next_frame().transpose()).take(9).any(|r| r.is_err()),
                 dns::decode(&bytes).is_none(),
                 Advertisement::decode(&bytes).is_err(),
             ];
-            failed += ends.iter().filter(|e| **e).count();
-            read += ends.iter().filter(|e| !**e).count();
+            rejected += has_error.iter().filter(|e| **e).count();
+            decoded += has_error.iter().filter(|e| !**e).count();
         }
     }
-    assert!(read > 1000 && failed > 1000, "{read} {failed}");
+    assert!(decoded > 1000 && rejected > 1000, "{decoded} decoded, {rejected} rejected");
 }
