--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -98,7 +98,7 @@
 
     fn exchanges(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        for entry in platform.core.exchanges.lines() {
+        for entry in platform.core.exchanges.entries() {
             let pool = platform.pools().find(|(id, _)| **id == entry.exchange).map(|(_, pool)| pool);
             let (address, open) = pool.map_or((String::new(), 0), |p| (p.address.to_string(), p.open()));
             let (id, node) = (&entry.exchange.0, entry.node.0);
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -151,7 +151,7 @@
             health: Health::Live,
             up_since: None,
         });
-        self.core.directory(self.clock.now(), UpdateKind::Full, entries.collect());
+        self.core.update_directory(self.clock.now(), UpdateKind::Full, entries.collect());
         for address in &self.config.upstreams {
             let upstream = Upstream { address: *address, queries: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
@@ -194,7 +194,7 @@
         let free: Vec<(ExchangeId, f64)> =
             self.upstreams.iter().map(|(id, u)| (id.clone(), window - u.queries.len() as f64)).collect();
         for (id, free) in free {
-            self.core.report(now, &id, vec![free.max(0.0), window]);
+            self.core.handle_load_report(now, &id, vec![free.max(0.0), window]);
         }
     }
 
@@ -219,7 +219,7 @@
             is_reconnect: false,
         };
         let request = Request { origin: Origin(self.last_number), offer, description: "".into() };
-        self.core.request(self.clock.now(), request);
+        self.core.handle_request(self.clock.now(), request);
         self.flush();
     }
 
@@ -277,15 +277,17 @@
 
     fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::Start { exchange, call, left, .. } => self.send_query(&exchange, &call, left),
-            Effect::Finish { exchange: Some(exchange), call, .. } => self.end_query(&exchange, &call),
+            Effect::SendSetUp { exchange, call, left, .. } => self.send_query(&exchange, &call, left),
+            Effect::ReleaseAtExchange { exchange: Some(exchange), call, .. } => {
+                self.end_query(&exchange, &call)
+            }
             Effect::Answer { call, .. } => {
                 let result = self.results.remove(&call);
                 self.conclude(&call, result);
             }
             Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
-            Effect::Finish { .. } | Effect::Release { .. } | Effect::TellAll(_) => {}
+            Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::TellAll(_) => {}
         }
     }
 
@@ -341,7 +343,7 @@
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.results
                         .insert(call.clone(), LookUpResult { rcode: reply.rcode, records: reply.records });
-                    self.core.reply(now, exchange, call, Reply::Stands("".into()));
+                    self.core.handle_reply(now, exchange, call, Reply::Stands("".into()));
                     AttemptStatus::Ended
                 }
                 // Another server may be able to resolve the name.
@@ -352,7 +354,7 @@
         if status != AttemptStatus::Ended {
             debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "status" => ?status);
         }
-        self.core.reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
+        self.core.handle_reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
         self.report_capacity();
         self.flush();
         self.results.remove(call); // still there only if no requester was waiting
@@ -493,7 +495,7 @@
     }
 
     fn wake(&mut self, now: Duration) {
-        self.core.wake(now);
+        self.core.run_due_timers(now);
         self.flush();
     }
 
