--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -204,7 +204,7 @@
     }
 
     /// Records a message on a connection. `call` is set if the message answers the set-up of that call.
-    pub fn on_line(&mut self, now: Duration, id: ConnectionId, call: Option<&CallId>) {
+    pub fn on_message(&mut self, now: Duration, id: ConnectionId, call: Option<&CallId>) {
         (self.last_received_at, self.is_unreachable) = (now, false);
         let Some(connection) = self.connections.iter_mut().find(|c| c.id == id) else { return };
         (connection.last_received_at, connection.stalled_since) = (now, None);
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Platform {
+    /// Handles a message of a client.
     pub(in crate::net) fn on_client_message(&mut self, client: u64, message: Message) {
         let now = self.clock.now();
         self.clients.on_message(now, client);
@@ -10,8 +11,8 @@
             return self.reject(client, 400, &message.echoed_headers(), "no Call-ID");
         };
         let StartLine::Request { method, user } = &message.start_line else {
-            let of = message.header("CSeq").unwrap_or_default();
-            if of.ends_with("BYE") && message.start_line != StartLine::Response(100) {
+            let cseq = message.header("CSeq").unwrap_or_default();
+            if cseq.ends_with("BYE") && message.start_line != StartLine::Response(100) {
                 self.unconfirmed_releases.remove(&id);
             }
             return;
@@ -28,8 +29,8 @@
             "BYE" => {
                 // The release is passed on even for an unknown call: after a restart the router does not know
                 // which calls are established.
-                let known = self.core.calls.open.contains_key(&id) || self.core.calls.is_over(&id);
-                let status = if known { 200 } else { 481 };
+                let is_known = self.core.calls.open.contains_key(&id) || self.core.calls.is_over(&id);
+                let status = if is_known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
                 self.unconfirmed_releases.remove(&id);
                 let cause = sip::release_cause(message.header("Reason"));
@@ -44,6 +45,7 @@
         self.flush();
     }
 
+    /// Handles a set-up: rejects it, or records it as open and passes it to the core.
     pub(super) fn on_invite(
         &mut self,
         now: Duration,
@@ -62,12 +64,12 @@
         let Ok(description) = std::str::from_utf8(&message.body) else {
             return self.reject(client, 400, &echoed, "description is not UTF-8");
         };
-        let (dest, offer) = offer;
+        let (destination, offer) = offer;
         // An id is never reused. A set-up with the id of an open one is therefore either a repeat, which is
         // ignored, or belongs to someone else, and is rejected without affecting the first. Either way the
         // open set-up gets no second answer.
         let open_call = self.core.calls.open.get(&id).map(|c| (c.origin.0, &*c.description == description));
-        let open_invite = self.invites.get(&id).map(|i| (i.client, open_call.is_none_or(|h| h.1)));
+        let open_invite = self.invites.get(&id).map(|i| (i.client, open_call.is_none_or(|c| c.1)));
         if let Some((origin, has_same_description)) = open_invite.or(open_call) {
             if origin == client && has_same_description {
                 debug!(self.log, "set-up repeated"; "call_id" => &*id.0, "connection_id" => client);
@@ -79,8 +81,8 @@
         if self.core.calls.is_over(&id) {
             return self.reject(client, 482, &echoed, "id of a set-up that is over");
         }
-        if let Some(place) = dest.filter(|d| !self.core.exchanges.serves(*d)) {
-            debug!(self.log, "destination unknown"; "call_id" => &*id.0, "place" => place.0);
+        if let Some(node) = destination.filter(|d| !self.core.exchanges.serves(*d)) {
+            debug!(self.log, "destination unknown"; "call_id" => &*id.0, "place" => node.0);
             return self.reject(client, 404, &echoed, "destination unknown");
         }
         // Limits the memory that a client can take by flooding one connection, and the delay for the others.
@@ -96,13 +98,13 @@
         self.invites.insert(id.clone(), Invite { client, echoed_headers: echoed });
         self.clients.begin_request(client, id);
         let request = Request { origin: Origin(client), offer, description: description.into() };
-        match dest {
+        match destination {
             Some(_) => self.core.request(now, request),
             None => self.resolve_destination(now, request),
         }
     }
 
-    /// Returns the destination and the offer of a set-up, or `None` if a figure is missing, not a number or
+    /// Returns the destination and the offer of a set-up, or `None` if a value is missing, not a number or
     /// out of range. The destination may be missing if numbers are looked up.
     pub(super) fn parse_offer(
         &self,
@@ -112,36 +114,36 @@
     ) -> Option<(Option<NodeNumber>, OfferedCall)> {
         let class = message.header("X-Call-Class");
         let class = class.and_then(|name| self.class_names.iter().position(|n| n == name))?;
-        let limit = Duration::from_millis(message.header("X-Ring-Limit")?.parse().ok()?);
-        let figures = sip::parse_parameters(message.header("X-Dest").unwrap_or_default())?;
-        let figure = |name| figures.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
+        let ring_limit = Duration::from_millis(message.header("X-Ring-Limit")?.parse().ok()?);
+        let parameters = sip::parse_parameters(message.header("X-Dest").unwrap_or_default())?;
+        let parameter = |name| parameters.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
         // `None` for a value that is no whole number or out of range, `Some(None)` for a missing one.
-        let integer = |name, min: f64, max: f64| match figure(name) {
+        let integer = |name, min: f64, max: f64| match parameter(name) {
             None => Some(None),
             Some(n) => ((min..=max).contains(&n) && n.fract() == 0.0).then_some(Some(n)),
         };
-        let dest = integer("dest", 0.0, f64::from(u32::MAX))?.map(|n| NodeNumber(n as u32));
-        let width = integer("width", 1.0, MAX_CIRCUITS_PER_CALL)?.map(|n| n as u32);
+        let destination = integer("dest", 0.0, f64::from(u32::MAX))?.map(|n| NodeNumber(n as u32));
+        let circuits = integer("width", 1.0, MAX_CIRCUITS_PER_CALL)?.map(|n| n as u32);
         let via =
             integer("via", -1.0, f64::from(u32::MAX))?.filter(|n| *n >= 0.0).map(|n| NodeNumber(n as u32));
         let flag = |name| integer(name, 0.0, 1.0).map(|n| n == Some(1.0));
         let again = message.header("X-Again").unwrap_or("0");
-        let is_valid = !limit.is_zero() && limit <= MAX_RING_LIMIT && matches!(again, "0" | "1");
-        (is_valid && (dest.is_some() || self.look_up.is_some())).then_some(())?;
+        let is_valid = !ring_limit.is_zero() && ring_limit <= MAX_RING_LIMIT && matches!(again, "0" | "1");
+        (is_valid && (destination.is_some() || self.look_up.is_some())).then_some(())?;
         let offer = OfferedCall {
             call: id.clone(),
             class,
             tenant: 0,
             called_number: number,
-            remaining: limit.saturating_sub(RESPONSE_MARGIN),
-            destination: dest.unwrap_or(NodeNumber(0)),
-            circuits: width,
+            remaining: ring_limit.saturating_sub(RESPONSE_MARGIN),
+            destination: destination.unwrap_or(NodeNumber(0)),
+            circuits,
             via,
             flagged_as_redial: again == "1",
             is_transit: flag("transit")?,
             is_reconnect: flag("again")?,
         };
-        Some((dest, offer))
+        Some((destination, offer))
     }
 
     /// Refuses a request that arrives while its connection is closing or the router has stopped.
@@ -156,10 +158,11 @@
     }
 
     /// Rejects a message that can't be served. On a connection that is closing it gets no answer.
-    pub(super) fn reject(&mut self, client: u64, status: u16, echoed: &str, why: &'static str) {
-        debug!(self.log, "message rejected"; "connection_id" => client, "status" => status, "reason" => why,
-            "call_id" => call_id_of(echoed), "protocol_errors" => self.clients.protocol_errors(client) + 1);
-        self.metrics.count_protocol_error(why);
+    pub(super) fn reject(&mut self, client: u64, status: u16, echoed: &str, reason: &'static str) {
+        debug!(self.log, "message rejected"; "connection_id" => client, "status" => status,
+            "reason" => reason, "call_id" => call_id_of(echoed),
+            "protocol_errors" => self.clients.protocol_errors(client) + 1);
+        self.metrics.count_protocol_error(reason);
         if self.clients.is_closing(client) {
             return;
         }
@@ -184,8 +187,8 @@
             }
             let now = platform.clock.now();
             match resolved {
-                Resolution::RouteTo(place) => {
-                    request.offer.destination = place;
+                Resolution::RouteTo(node) => {
+                    request.offer.destination = node;
                     request.offer.remaining = deadline.saturating_sub(now);
                     platform.core.request(now, request);
                 }
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -3,39 +3,40 @@
 use super::*;
 
 impl Platform {
-    pub(in crate::net) fn on_exchange_line(
+    /// Handles a message of an exchange.
+    pub(in crate::net) fn on_exchange_message(
         &mut self,
         exchange: &ExchangeId,
         connection: ConnectionId,
-        line: &jsonl::Message,
+        message: &jsonl::Message,
     ) {
         if self.is_stopped {
             return; // no client can be informed any more; the exchange repeats this to the next process
         }
         let now = self.clock.now();
-        let id = CallId(line.tag.as_str().into());
-        let is_answer = matches!(line.verb.as_str(), "STARTED" | "FINISH");
+        let id = CallId(message.tag.as_str().into());
+        let is_answer = matches!(message.verb.as_str(), "STARTED" | "FINISH");
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        pool.on_line(now, connection, is_answer.then_some(&id));
-        if line.verb == "LOAD" {
+        pool.on_message(now, connection, is_answer.then_some(&id));
+        if message.verb == "LOAD" {
             pool.on_group_state(now, connection);
         }
-        let report = line.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
-        match line.verb.as_str() {
+        let report = message.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
+        match message.verb.as_str() {
             "LOAD" => self.core.report(now, exchange, report),
             "STARTED" => {
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
                 self.metrics.count_outcome("stands");
-                let description = line.blob.as_deref().unwrap_or_default().into();
+                let description = message.blob.as_deref().unwrap_or_default().into();
                 self.core.reply(now, exchange, &id, Reply::Stands(description));
             }
             "FINISH" => {
                 let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
-                let status = release_status(line.cause, was_established);
-                let cause = line.note.as_deref().and_then(failure_cause);
+                let status = release_status(message.cause, was_established);
+                let cause = message.note.as_deref().and_then(failure_cause);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0,
-                    "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?line.cause,
-                    "note" => line.note.as_deref().unwrap_or(""));
+                    "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?message.cause,
+                    "note" => message.note.as_deref().unwrap_or(""));
                 self.metrics.count_outcome(outcome_label(status));
                 self.core.reply(now, exchange, &id, Reply::Ended { status, cause, report });
                 if was_established {
@@ -97,6 +98,7 @@
         ));
     }
 
+    /// Adds a new connection to the pool of its exchange.
     pub(in crate::net) fn on_exchange_connected(
         &mut self,
         exchange: &ExchangeId,
@@ -110,6 +112,7 @@
         }
     }
 
+    /// Reports the unsent set-ups to the core, and the loss of all calls if the exchange's process has ended.
     pub(in crate::net) fn on_exchange_connect_failed(&mut self, exchange: &ExchangeId, error: &io::Error) {
         let now = self.clock.now();
         let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
@@ -130,6 +133,7 @@
         self.flush();
     }
 
+    /// Removes a connection that has ended from its pool, and reports the attempts that were open on it.
     pub(in crate::net) fn on_exchange_disconnected(
         &mut self,
         exchange: &ExchangeId,
@@ -186,6 +190,7 @@
     }
 }
 
+/// Returns the cause that the note of a refused attempt names, if it is a known one.
 fn failure_cause(note: &str) -> Option<FailureCause> {
     Some(match note {
         "group_full" => FailureCause::NoCircuit,
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -186,15 +186,16 @@
                 timers_changed: Rc::default(),
             })
         });
-        platform.borrow_mut().apply_known(config);
+        platform.borrow_mut().apply_known_updates(config);
         Ok(platform)
     }
 
-    fn apply_known(&mut self, config: &Config) {
-        for (index, known) in config.known_updates.iter().enumerate() {
+    /// Applies the list updates of the configuration file.
+    fn apply_known_updates(&mut self, config: &Config) {
+        for (index, update) in config.known_updates.iter().enumerate() {
             let kind =
-                if index == 0 || known.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
-            self.apply_update(kind, known);
+                if index == 0 || update.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
+            self.apply_update(kind, update);
         }
     }
 
@@ -205,7 +206,7 @@
         (self.peers, self.peers_all) = (config.peers.clone(), config.peers_all);
         self.clients.limit = max_client_connections(config);
         if config.coordinator.is_none() {
-            self.apply_known(config);
+            self.apply_known_updates(config);
         }
         if std::mem::replace(&mut self.coordinator, config.coordinator) != config.coordinator {
             self.coordinator_changed.notify_one();
@@ -290,17 +291,18 @@
 
     // ---- exchange list -------------------------------------------------------------------------
 
+    /// Applies an update of the exchange list to the connection pools and the core.
     fn apply_update(&mut self, kind: UpdateKind, update: &ListUpdate) {
         let now = self.clock.now();
-        let lines = &update.exchanges;
+        let listed = &update.exchanges;
         if kind != UpdateKind::Changes {
-            let is_listed = |id: &ExchangeId| lines.iter().any(|line| line.entry.exchange == *id);
+            let is_listed = |id: &ExchangeId| listed.iter().any(|exchange| exchange.entry.exchange == *id);
             let missing = self.pools.iter_mut().filter(|(id, _)| !is_listed(id));
             missing.for_each(|(_, pool)| pool.set_listed(now, false));
         }
         let former_starts: BTreeMap<ExchangeId, Option<Duration>> =
             self.core.exchanges.lines().map(|e| (e.exchange.clone(), e.up_since)).collect();
-        for ListedExchange { entry, address } in lines {
+        for ListedExchange { entry, address } in listed {
             let id = &entry.exchange;
             let pool = self
                 .pools
@@ -314,22 +316,26 @@
             info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.node.0,
                 "health" => ?entry.health, "up_since" => ?entry.up_since, "event" => self.last_event);
         }
-        for ListedExchange { address, .. } in lines.iter().filter(|line| line.entry.health != Health::Gone) {
+        for ListedExchange { address, .. } in
+            listed.iter().filter(|exchange| exchange.entry.health != Health::Gone)
+        {
             let former = self.pools.values().filter(|pool| !pool.is_listed() && pool.address == *address);
             former.for_each(ExchangePool::on_address_reassigned);
         }
         self.pools.retain(|_, pool| !pool.is_removable());
-        let entries = lines.iter().map(|line| line.entry.clone()).collect();
+        let entries = listed.iter().map(|exchange| exchange.entry.clone()).collect();
         self.core.directory(now, kind, entries);
-        self.withdraw_queued(lines);
+        self.withdraw_queued(listed);
         self.flush();
     }
 
     /// Takes back the set-ups that wait for a connection to an exchange that accepts no new ones, and reports
     /// them as not sent so that they go elsewhere: the connection may come up long after the exchange's drain
     /// was announced.
-    fn withdraw_queued(&mut self, lines: &[ListedExchange]) {
-        for ListedExchange { entry, .. } in lines.iter().filter(|line| line.entry.health != Health::Live) {
+    fn withdraw_queued(&mut self, listed: &[ListedExchange]) {
+        for ListedExchange { entry, .. } in
+            listed.iter().filter(|exchange| exchange.entry.health != Health::Live)
+        {
             let queued = self.pools.get_mut(&entry.exchange).map(ExchangePool::take_queued_set_ups);
             for call in queued.unwrap_or_default() {
                 self.on_attempt_connection_lost(&entry.exchange, &call, false);
@@ -337,10 +343,11 @@
         }
     }
 
+    /// Applies the list update in a frame, unless its event is no newer than the last one received.
     pub(in crate::net) fn on_coordinator_frame(&mut self, frame: coordinator::Frame) {
         let Some(list) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
         self.last_event = frame.event_number;
-        let lines = list.records.into_iter().map(|r| ListedExchange {
+        let listed = list.records.into_iter().map(|r| ListedExchange {
             entry: DirectoryEntry {
                 exchange: ExchangeId(r.id.into()),
                 node: NodeNumber(u32::from(r.node)),
@@ -354,7 +361,7 @@
             },
             address: r.address,
         });
-        let update = ListUpdate { is_full_list: list.is_full_list, exchanges: lines.collect() };
+        let update = ListUpdate { is_full_list: list.is_full_list, exchanges: listed.collect() };
         self.apply_update(if list.is_full_list { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
@@ -385,6 +392,7 @@
     }
 }
 
+/// Returns the number of client connections that the limit on descriptors allows.
 fn max_client_connections(config: &Config) -> usize {
     (config.max_sockets as f64 * CLIENT_CONNECTIONS_SHARE) as usize
 }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -45,13 +45,15 @@
                 decoder.feed(bytes);
                 loop {
                     match decoder.next_message() {
-                        Ok(Some(line)) => platform.borrow_mut().on_exchange_line(&exchange, id, &line),
+                        Ok(Some(message)) => {
+                            platform.borrow_mut().on_exchange_message(&exchange, id, &message)
+                        }
                         Ok(None) => {
                             platform.borrow_mut().on_exchange_read(&exchange, id, decoder.has_partial_line());
                             return ControlFlow::Continue(());
                         }
-                        Err(why) => {
-                            warn!(platform.borrow().log, "exchange message malformed"; "reason" => why,
+                        Err(reason) => {
+                            warn!(platform.borrow().log, "exchange message malformed"; "reason" => reason,
                                 "connection_id" => id.0, "exchange_id" => &*exchange.0);
                             writes.close(CloseReason::MalformedMessage);
                             return ControlFlow::Break(());
@@ -70,8 +72,8 @@
 
 /// Runs the timers and the periodic checks of the front.
 pub async fn run_timers(platform: Handle) {
-    let (clock, due) = (platform.borrow().clock, platform.borrow().timers_changed.clone());
-    connection::run_timers(platform, clock, due, SWEEP_INTERVAL).await;
+    let (clock, rescheduled) = (platform.borrow().clock, platform.borrow().timers_changed.clone());
+    connection::run_timers(platform, clock, rescheduled, SWEEP_INTERVAL).await;
 }
 
 /// Accepts client connections until `stop` is notified, then those that are already waiting.
@@ -160,8 +162,8 @@
                     match decoder.next_frame() {
                         Ok(Some(frame)) => platform.borrow_mut().on_coordinator_frame(frame),
                         Ok(None) => return ControlFlow::Continue(()),
-                        Err(why) => {
-                            warn!(log, "coordinator frame malformed"; "reason" => why);
+                        Err(reason) => {
+                            warn!(log, "coordinator frame malformed"; "reason" => reason);
                             return ControlFlow::Break(());
                         }
                     }
@@ -214,8 +216,8 @@
     platform.borrow_mut().set_peer_socket(socket.clone());
     let mut buffer = [0; 2 * MAX_DATAGRAM_SIZE];
     loop {
-        let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
-        let sender = platform.borrow().peer_number(from);
+        let Ok((length, sender_address)) = socket.recv_from(&mut buffer).await else { continue };
+        let sender = platform.borrow().peer_number(sender_address);
         let text = std::str::from_utf8(&buffer[..length]).ok().filter(|_| length <= MAX_DATAGRAM_SIZE);
         if let (Some(sender), Some(text)) = (sender, text) {
             platform.borrow_mut().on_peer_message(sender, text);
--- a/tests/exchange_pool.rs
+++ b/tests/exchange_pool.rs
@@ -24,12 +24,12 @@
 #[test]
 fn a_silent_and_unreachable_exchange_is_out_of_reach_before_its_releases_are_due() {
     let mut pool = connected_pool();
-    pool.on_line(ms(2000), ConnectionId(1), None);
+    pool.on_message(ms(2000), ConnectionId(1), None);
     assert!(!pool.is_idle(ms(3400)) && pool.is_idle(ms(3500)) && pool.should_connect(ms(5000), true));
     assert!(!pool.is_out_of_reach(ms(20_000)), "a silent exchange may merely have no traffic");
     pool.on_connect_failed(ms(5500), ConnectFailure::Unreachable);
     assert!(!pool.is_out_of_reach(ms(9000)) && pool.is_out_of_reach(ms(9500)));
-    pool.on_line(ms(9600), ConnectionId(1), None);
+    pool.on_message(ms(9600), ConnectionId(1), None);
     assert!(!pool.is_out_of_reach(ms(20_000)));
 }
 
@@ -68,7 +68,7 @@
     pool.on_connected(ms(1500), ConnectionId(2), buffers[0].clone());
     pool.on_connected(ms(1500), ConnectionId(3), buffers[1].clone());
     let receive_group_state = |pool: &mut ExchangePool, at, id| {
-        pool.on_line(at, ConnectionId(id), None);
+        pool.on_message(at, ConnectionId(id), None);
         pool.on_group_state(at, ConnectionId(id));
     };
     receive_group_state(&mut pool, ms(1510), 2); // the first one on a connection is sent on that one only
@@ -144,7 +144,7 @@
     pool.on_connected(ms(1000), ConnectionId(1), complete);
     pool.on_connected(ms(1000), ConnectionId(2), partial.clone());
     for at in [1010, 2000] {
-        pool.on_line(ms(at), ConnectionId(1), None);
+        pool.on_message(ms(at), ConnectionId(1), None);
         pool.on_group_state(ms(at), ConnectionId(1));
     }
     for at in [2040, 2080, 2120] {
