--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -29,7 +29,7 @@
             "BYE" => {
                 // The release is passed on even for an unknown call: after a restart the router does not know
                 // which calls are established.
-                let is_known = self.core.calls.open.contains_key(&id) || self.core.calls.is_over(&id);
+                let is_known = self.core.calls.open.contains_key(&id) || self.core.calls.has_ended(&id);
                 let status = if is_known { 200 } else { 481 };
                 self.send_to_client(client, &sip::response(status, &echoed, None, b""));
                 self.unconfirmed_releases.remove(&id);
@@ -78,7 +78,7 @@
             }
             return self.reject(client, 482, &echoed, "id of another set-up");
         }
-        if self.core.calls.is_over(&id) {
+        if self.core.calls.has_ended(&id) {
             return self.reject(client, 482, &echoed, "id of a set-up that is over");
         }
         if let Some(node) = destination.filter(|d| !self.core.exchanges.serves(*d)) {
@@ -99,7 +99,7 @@
         self.clients.begin_request(client, id);
         let request = Request { origin: Origin(client), offer, description: description.into() };
         match destination {
-            Some(_) => self.core.request(now, request),
+            Some(_) => self.core.handle_request(now, request),
             None => self.resolve_destination(now, request),
         }
     }
@@ -190,7 +190,7 @@
                 Resolution::RouteTo(node) => {
                     request.offer.destination = node;
                     request.offer.remaining = deadline.saturating_sub(now);
-                    platform.core.request(now, request);
+                    platform.core.handle_request(now, request);
                 }
                 Resolution::NotFound => platform.answer_unrouted(&id, 404),
                 Resolution::Unknown => platform.answer_unrouted(&id, 503),
@@ -213,7 +213,7 @@
             self.take_invite(id).is_some()
         };
         if is_open {
-            self.core.hang_up(now, id, CLEARED);
+            self.core.hang_up(now, id, CAUSE_NORMAL_CLEARING);
         }
     }
 
@@ -293,7 +293,7 @@
             let (call, reason) = (&*id.0, reason.as_str());
             warn!(self.log, "request dropped"; "call_id" => call, "connection_id" => client,
                 "reason" => reason);
-            self.metrics.count_dropped(reason);
+            self.metrics.count_dropped_request(reason);
             self.withdraw(now, &id, false);
         }
         // Releases that crossed the close are lost, so unconfirmed ones are sent on another connection.
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -23,12 +23,12 @@
         }
         let report = message.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
         match message.verb.as_str() {
-            "LOAD" => self.core.report(now, exchange, report),
+            "LOAD" => self.core.handle_load_report(now, exchange, report),
             "STARTED" => {
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
-                self.metrics.count_outcome("stands");
+                self.metrics.count_attempt_outcome("stands");
                 let description = message.blob.as_deref().unwrap_or_default().into();
-                self.core.reply(now, exchange, &id, Reply::Stands(description));
+                self.core.handle_reply(now, exchange, &id, Reply::Stands(description));
             }
             "FINISH" => {
                 let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
@@ -37,8 +37,8 @@
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0,
                     "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?message.cause,
                     "note" => message.note.as_deref().unwrap_or(""));
-                self.metrics.count_outcome(outcome_label(status));
-                self.core.reply(now, exchange, &id, Reply::Ended { status, cause, report });
+                self.metrics.count_attempt_outcome(outcome_label(status));
+                self.core.handle_reply(now, exchange, &id, Reply::Ended { status, cause, report });
                 if was_established {
                     self.send_to_exchange(exchange, connection, &jsonl::reply("FINISHED", &id.0, None));
                 }
@@ -80,7 +80,7 @@
         let is_idle_with_calls = pool.is_idle(now) && self.core.stands_at(exchange);
         if is_idle_with_calls && pool.is_out_of_reach(now) {
             warn!(self.log, "exchange out of reach, releasing its calls"; "exchange_id" => &*exchange.0);
-            self.core.cut(now, exchange);
+            self.core.reset_calls_at(now, exchange);
             return self.flush();
         }
         if self.is_stopped || !pool.should_connect(now, is_idle_with_calls) || !pool.make_room() {
@@ -128,7 +128,7 @@
         if has_process_ended {
             // All connections ended and nothing listens any more: the calls at the exchange were cut off with
             // its process.
-            self.core.cut(now, exchange);
+            self.core.reset_calls_at(now, exchange);
         }
         self.flush();
     }
@@ -150,7 +150,11 @@
             // The set-up may have succeeded with its answer corrupted or cut off. Any call established there
             // is released before the next attempt, so that it does not hold circuits that nobody uses.
             let exchange_id = Some(exchange.clone());
-            self.carry_out(Effect::Finish { exchange: exchange_id, call: id.clone(), cause: CLEARED });
+            self.carry_out(Effect::ReleaseAtExchange {
+                exchange: exchange_id,
+                call: id.clone(),
+                cause: CAUSE_NORMAL_CLEARING,
+            });
             self.on_attempt_connection_lost(exchange, &id, true);
         }
         self.connect_if_needed(exchange);
@@ -168,9 +172,9 @@
         if self.core.calls.open.get(id).is_some_and(|c| !c.stands) {
             debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0,
                 "exchange_id" => &*exchange.0, "status" => ?status);
-            self.metrics.count_outcome(outcome_label(status));
+            self.metrics.count_attempt_outcome(outcome_label(status));
             let reply = Reply::Ended { status, cause: None, report: Vec::new() };
-            self.core.reply(self.clock.now(), exchange, id, reply);
+            self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
     }
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::Notify;
 
 use crate::call::calls::Origin;
-use crate::call::core::{Core, Effect, Reply, Request, CLEARED, CUT};
+use crate::call::core::{Core, Effect, Reply, Request, CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
 use crate::lifecycle::config::{Config, ListUpdate, ListedExchange};
@@ -145,7 +145,7 @@
     /// Returns an error if the decision module rejects the settings.
     pub fn new(config: &Config, log: Logger, clock: Clock) -> Result<Handle, SettingsError> {
         let (now, limits) = (clock.now(), &config.settings.limits);
-        let exchanges = Exchanges::expecting(&config.settings);
+        let exchanges = Exchanges::with_places_of(&config.settings);
         let controller = Controller::new(config.settings.clone(), config.seed, now)?;
         let platform = Rc::new_cyclic(|weak_self| {
             RefCell::new(Self {
@@ -301,7 +301,7 @@
             missing.for_each(|(_, pool)| pool.set_listed(now, false));
         }
         let former_starts: BTreeMap<ExchangeId, Option<Duration>> =
-            self.core.exchanges.lines().map(|e| (e.exchange.clone(), e.up_since)).collect();
+            self.core.exchanges.entries().map(|e| (e.exchange.clone(), e.up_since)).collect();
         for ListedExchange { entry, address } in listed {
             let id = &entry.exchange;
             let pool = self
@@ -324,7 +324,7 @@
         }
         self.pools.retain(|_, pool| !pool.is_removable());
         let entries = listed.iter().map(|exchange| exchange.entry.clone()).collect();
-        self.core.directory(now, kind, entries);
+        self.core.update_directory(now, kind, entries);
         self.withdraw_queued(listed);
         self.flush();
     }
@@ -372,7 +372,7 @@
     }
 
     fn run_due(&mut self, now: Duration) {
-        self.core.wake(now);
+        self.core.run_due_timers(now);
         self.flush();
     }
 
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -184,7 +184,7 @@
         assert!(removed.is_empty());
         assert_eq!(exchanges.apply(UpdateKind::Changes, &[entry(n, Health::Gone)]).len(), 1);
     }
-    assert_eq!(exchanges.lines().count(), 0);
+    assert_eq!(exchanges.entries().count(), 0);
     assert!(exchanges.serves(NodeNumber(2)) && !exchanges.serves(NodeNumber(3)));
 }
 
