--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -2,6 +2,11 @@
 
 use super::*;
 
+/// Q.850 cause 34: no circuit or channel available.
+const CAUSE_NO_CIRCUIT: u32 = 34;
+/// Q.850 cause 102: recovery on timer expiry.
+const CAUSE_TIMER_EXPIRY: u32 = 102;
+
 impl Platform {
     /// Handles a message of an exchange.
     pub(in crate::net) fn on_exchange_message(
@@ -182,14 +187,14 @@
 /// Returns the status of an attempt, or of an established call, that its exchange has released.
 fn release_status(cause: Option<u32>, was_established: bool) -> AttemptStatus {
     match (cause, was_established) {
-        (Some(41), _) => AttemptStatus::Reset,
+        (Some(CAUSE_TEMPORARY_FAILURE), _) => AttemptStatus::Reset,
         (_, true) => AttemptStatus::Ended,
-        (Some(34), false) => AttemptStatus::Full,
-        (Some(102), false) => AttemptStatus::Moot,
+        (Some(CAUSE_NO_CIRCUIT), false) => AttemptStatus::Full,
+        (Some(CAUSE_TIMER_EXPIRY), false) => AttemptStatus::Moot,
         // The call was established at the exchange and ended normally, and its answer was lost: it must not
         // be set up again. (A call that the router has given up is closed at once, so its release does not
         // get here.)
-        (Some(16), false) => AttemptStatus::Ended,
+        (Some(CAUSE_NORMAL_CLEARING), false) => AttemptStatus::Ended,
         _ => AttemptStatus::Error,
     }
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -109,6 +109,7 @@
     pub(in crate::net) connect_timeout: Duration,
     /// Time for which an exchange that was sent a set-up may be silent before another connection is opened.
     silence_timeout: Duration,
+    /// Number of the last coordinator event applied.
     pub(in crate::net) last_event: u64,
     clients: ClientConnections,
     invites: HashMap<CallId, Invite>,
@@ -128,10 +129,14 @@
     look_up: Option<(enumeration::Handle, f64)>,
     started_at: Duration,
     peer_socket: Option<Rc<UdpSocket>>,
+    /// Addresses of the routers, by their numbers.
     peers: Vec<SocketAddr>,
+    /// Address that reaches all routers at once.
     peers_all: Option<SocketAddr>,
     pub(in crate::net) coordinator: Option<SocketAddr>,
+    /// Notified when a reload has changed the coordinator.
     pub(in crate::net) coordinator_changed: Rc<Notify>,
+    /// Notified when work may have become due earlier than before.
     pub(in crate::net) timers_changed: Rc<Notify>,
 }
 
