--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -325,6 +325,7 @@
     /// Ends the cycles of the admission control that are over. Returns whether there was one.
     fn end_cycles(&mut self) -> bool {
         let before = self.cycles_ended;
+        // The tolerance covers rounding of the times, which are floating-point seconds.
         while self.cycle_end <= self.now + 1e-6 {
             self.cycle_end += CYCLE_LENGTH;
             self.cycles_ended += 1;
@@ -334,6 +335,9 @@
             for (node, state) in &mut self.nodes {
                 let mut warm_exchanges =
                     self.exchanges.values().filter(|e| e.node == *node && e.warm_at <= self.now);
+                // Only a node that is warm and answers shows what it can take. The rate of one cycle is
+                // limited to twice the smoothed rate, or to the offered rate if that is more, so that a flood
+                // does not raise it much.
                 let is_serving = state.window.size >= 1.0 && warm_exchanges.any(|e| e.health == Health::Live);
                 let rate = (std::mem::take(&mut state.sent_in_cycle) / CYCLE_LENGTH)
                     .min(self.admission.offered_rate.max(2.0 * state.sent_rate));
@@ -373,6 +377,7 @@
             self.exchanges.insert(entry.exchange.clone(), exchange);
             self.nodes.entry(entry.node).or_default();
         }
+        // Exchanges that are gone are dropped once there are more than four per node on average.
         if self.exchanges.len() > 4 * self.nodes.len() {
             self.exchanges.retain(|_, e| e.health != Health::Gone);
         }
@@ -449,6 +454,8 @@
         let (class, first_dialled_at) =
             (offered.class.min(self.settings.classes.len() - 1), self.first_dialled_at(&offered));
         let class_settings = &self.settings.classes[class];
+        // The final answer of a held call is due two ticks before its deadline; a call in transit is not
+        // held.
         let hold_until =
             if offered.is_transit { self.now } else { deadline - 2.0 * self.settings.tick.as_secs_f64() };
         let call = Call {
@@ -597,6 +604,8 @@
                 return;
             }
         }
+        // In a mesh a call has no route left after the direct one and `MAX_TANDEMS` tandems, or after all
+        // nodes but the own one. A call to the own exchange has no direct route.
         let max_routes = self.nodes.len().min(MAX_TANDEMS + 2 - usize::from(to_own_node));
         let is_out_of_routes = !is_pooled
             && (to_own_node || tried_nodes.contains(&destination))
@@ -848,6 +857,7 @@
                 *tandem = if self.now > tandem.1 { (pause, self.now + pause) } else { *tandem };
             }
             if outcome.status == AttemptStatus::TimedOut {
+                // A time-out counts as later than the target delay, however early it came.
                 self.record_local_delay(attempt.node, (elapsed / target_delay).max(1.0) + 0.01);
             }
         }
