--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -22,6 +22,7 @@
     "Halt",
 ];
 
+/// Events that happened at one time.
 #[derive(Deserialize)]
 pub struct Batch {
     #[serde(rename = "TimeNs")]
@@ -29,6 +30,7 @@
     pub happened: Vec<Value>,
 }
 
+/// Directory list, to which later `Announce` events refer by its number.
 #[derive(Deserialize)]
 pub struct Directory {
     #[serde(rename = "Ref")]
@@ -37,6 +39,7 @@
     pub rows: Vec<Row>,
 }
 
+/// Row of a directory list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
@@ -47,6 +50,7 @@
     campus: Option<u32>,
 }
 
+/// Translates a row of a directory list.
 pub fn parse_entry(row: Row) -> Result<DirectoryEntry, String> {
     let health = match row.health.as_str() {
         "live" => Health::Live,
@@ -63,6 +67,7 @@
     })
 }
 
+/// Start of an instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Boot {
@@ -71,6 +76,7 @@
     pub info: Info,
 }
 
+/// Settings of an instance.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Info {
@@ -180,7 +186,7 @@
 }
 
 fn parse_class(index: usize, class: WireClass, domain: &Domain) -> Result<Class, String> {
-    let effect = match class.effect.as_deref() {
+    let idempotency = match class.effect.as_deref() {
         None | Some("safe") => Idempotency::Safe,
         Some("unsafe") => Idempotency::Unsafe,
         Some("keyed") => {
@@ -198,7 +204,7 @@
         deadline: Duration::from_nanos(class.deadline_ns),
         value: class.worth.unwrap_or(0.0),
         late_value_share: class.late_share.unwrap_or(0.0),
-        idempotency: effect,
+        idempotency,
         circuits: domain.channels_needed.as_ref().and_then(|w| w.get(index).copied()).unwrap_or(1),
         mean_holding_time: duration_or_zero(
             domain.class_hold_ns.as_ref().and_then(|h| h.get(index).copied()),
@@ -225,18 +231,20 @@
     }
 }
 
+/// Translates the settings of an instance. Missing settings become 0, empty or off; a class seizes one
+/// circuit by default.
 pub fn parse_settings(info: Info) -> Result<Settings, String> {
     let domain = info.domain;
-    let own = domain.own_number.and_then(|n| u32::try_from(n).ok());
-    let topology = match (domain.topology.as_deref(), own) {
+    let own_number = domain.own_number.and_then(|n| u32::try_from(n).ok());
+    let topology = match (domain.topology.as_deref(), own_number) {
         (Some("groups"), _) | (None, None) => Topology::Pools,
-        (Some("meshed") | None, Some(own)) => Topology::Meshed(NodeNumber(own)),
+        (Some("meshed") | None, Some(own_number)) => Topology::Meshed(NodeNumber(own_number)),
         (Some(other), _) => return Err(format!("Topology {other:?} is unknown or lacks a valid OwnNumber")),
     };
     let classes = info.classes.into_iter().enumerate();
     let classes = classes.map(|(i, c)| parse_class(i, c, &domain)).collect::<Result<Vec<_>, _>>()?;
     let tenants = info.orgs.into_iter();
-    let (contract, limits, prices) = (info.contract, info.policy_limits, info.penalties);
+    let (contract, limits, penalties) = (info.contract, info.policy_limits, info.penalties);
     Ok(Settings {
         classes,
         tenants: tenants.map(|t| Tenant { quota_per_s: t.quota_per_s.unwrap_or(0.0) }).collect(),
@@ -264,10 +272,10 @@
         },
         gauges: info.stats.names.unwrap_or_default().iter().map(|n| parse_gauge(n)).collect(),
         penalties: Penalties {
-            late_failure: prices.late_fail.unwrap_or(0.0),
-            wasted_work: prices.waste.unwrap_or(0.0),
-            probe: prices.probe.unwrap_or(0.0),
-            peer_message: prices.peer.unwrap_or(0.0),
+            late_failure: penalties.late_fail.unwrap_or(0.0),
+            wasted_work: penalties.waste.unwrap_or(0.0),
+            probe: penalties.probe.unwrap_or(0.0),
+            peer_message: penalties.peer.unwrap_or(0.0),
         },
         directory_polled: info.registry_mode.as_deref() == Some("ask"),
         redials_flagged: info.clients.marks_retry.unwrap_or(false),
@@ -372,6 +380,7 @@
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
+/// Translates an event for a controller. `directories` holds the lists given so far.
 pub fn parse_event(
     op: &str,
     value: Value,
@@ -379,19 +388,22 @@
 ) -> Result<Event, String> {
     Ok(match op {
         "Announce" => {
-            let news: Announce = deserialize(value)?;
-            let kind = match news.mode.as_str() {
+            let announcement: Announce = deserialize(value)?;
+            let kind = match announcement.mode.as_str() {
                 "diff" => UpdateKind::Changes,
                 "snapshot" => UpdateKind::Full,
                 "disk" => UpdateKind::Stored,
                 "error" => UpdateKind::Failed,
                 other => return Err(format!("unknown Mode {other:?}")),
             };
-            let entries = match (kind, news.list_number.and_then(|n| directories.get(&n))) {
+            let entries = match (kind, announcement.list_number.and_then(|n| directories.get(&n))) {
                 (UpdateKind::Failed, _) => Arc::default(),
                 (_, Some(list)) => Arc::clone(list),
                 (_, None) => {
-                    return Err(format!("Announce refers to an unknown list: Ref {:?}", news.list_number))
+                    return Err(format!(
+                        "Announce refers to an unknown list: Ref {:?}",
+                        announcement.list_number
+                    ))
                 }
             };
             Event::DirectoryUpdate { kind, entries }
@@ -466,6 +478,7 @@
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
+/// Returns the order for an action of the instance `name`.
 pub fn encode_order(name: &str, action: Action) -> Value {
     let mut order = match action {
         Action::SendSetUp { call, exchange, give_up_at } => {
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -148,7 +148,7 @@
     events: VecDeque<Event>,
     /// Effects that the front end has not taken yet.
     effects: Vec<Effect>,
-    /// Latest time given by a caller; never goes back.
+    /// Latest time that a method was given; never goes back.
     now: Duration,
 }
 
@@ -176,6 +176,7 @@
         self.timers.next_due()
     }
 
+    /// Sets the current time, which never goes back.
     fn advance_clock(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
@@ -362,7 +363,7 @@
             match due {
                 Timer::Controller(token) => self.events.push_back(Event::TimerExpired(token)),
                 Timer::AttemptTimeout(id, number) => self.time_out_attempt(&id, number),
-                Timer::RequestDeadline(id) => self.fail_overdue_request(&id),
+                Timer::RequestDeadline(id) => self.fail_unanswered(&id),
             }
             self.process_events();
         }
@@ -376,10 +377,11 @@
         actions.into_iter().for_each(|action| self.execute(action));
         let open = self.calls.open.iter().filter(|(_, c)| !c.is_established);
         let open: Vec<CallId> = open.map(|(id, _)| id.clone()).collect();
-        open.iter().for_each(|id| self.fail_overdue_request(id));
+        open.iter().for_each(|id| self.fail_unanswered(id));
         self.process_events();
     }
 
+    /// Abandons an attempt that was not answered in time, if it is still pending.
     fn time_out_attempt(&mut self, id: &CallId, number: u32) {
         let Some(call) = self.calls.open.get_mut(id).filter(|c| !c.is_established) else { return };
         let Some(attempt) = call.attempt.take_if(|a| a.number == number) else { return };
@@ -387,9 +389,9 @@
         self.queue_outcome(id, &attempt, AttemptStatus::TimedOut, None, Vec::new(), false);
     }
 
-    /// Answers a request whose deadline has passed. Rule 1 requires one final answer to every request, even
-    /// if the controller gives none.
-    fn fail_overdue_request(&mut self, id: &CallId) {
+    /// Answers a request as failed if it has no final answer yet, at its deadline or before the process ends.
+    /// Rule 1 requires one final answer to every request, even if the controller gives none.
+    fn fail_unanswered(&mut self, id: &CallId) {
         if self.calls.open.get(id).is_none_or(|c| c.is_established) {
             return;
         }
@@ -433,6 +435,7 @@
         }));
     }
 
+    /// Carries out an action of the controller.
     fn execute(&mut self, action: Action) {
         match action {
             Action::SendSetUp { call, exchange, give_up_at } => {
@@ -480,23 +483,23 @@
 
     /// Sends an attempt, limited to the call's deadline. It ends as moot without being sent if the exchange
     /// is no longer listed, another attempt is pending, the call is established or no time is left.
-    fn send_attempt(&mut self, id: &CallId, exchange: ExchangeId, until: Duration) {
+    fn send_attempt(&mut self, id: &CallId, exchange: ExchangeId, give_up_at: Duration) {
         let is_listed = self.exchanges.is_listed(&exchange);
         let Some(call) = self.calls.open.get_mut(id) else { return };
-        let until = if until.is_zero() { call.deadline } else { until.min(call.deadline) };
+        let give_up_at = if give_up_at.is_zero() { call.deadline } else { give_up_at.min(call.deadline) };
         let attempt = Attempt { exchange: exchange.clone(), number: call.attempt_count, sent_at: self.now };
         call.attempt_count += 1;
-        if !is_listed || call.attempt.is_some() || call.is_established || until <= self.now {
+        if !is_listed || call.attempt.is_some() || call.is_established || give_up_at <= self.now {
             return self.queue_outcome(id, &attempt, AttemptStatus::Moot, None, Vec::new(), false);
         }
-        self.timers.schedule(until, Timer::AttemptTimeout(id.clone(), attempt.number));
+        self.timers.schedule(give_up_at, Timer::AttemptTimeout(id.clone(), attempt.number));
         call.attempt = Some(attempt);
         self.effects.push(Effect::SendSetUp {
             exchange,
             call: id.clone(),
             class: call.class,
             called_number: call.called_number.clone(),
-            remaining: until - self.now,
+            remaining: give_up_at - self.now,
             description: call.description.clone(),
         });
     }
@@ -507,6 +510,7 @@
     Reply::Ended { status, failure_cause: None, load_report: Vec::new() }
 }
 
+/// Returns the event for a load report that an exchange sent unasked.
 fn load_reported(exchange: &ExchangeId, load_report: Vec<f64>) -> Event {
     Event::LoadReported {
         exchange: exchange.clone(),
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -29,11 +29,11 @@
 
     /// Applies a directory update; returns the exchanges that it removed from the list.
     pub fn apply(&mut self, kind: UpdateKind, entries: &[DirectoryEntry]) -> Vec<ExchangeId> {
-        let whole = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
+        let replaces_all = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         let listed = |id: &ExchangeId| entries.iter().any(|e| e.exchange == *id);
         let before: Vec<ExchangeId> = self.entries.keys().cloned().collect();
         // A replaced exchange comes back under a new id, so the list would grow forever if old ids were kept.
-        self.entries.retain(|id, _| !whole || listed(id));
+        self.entries.retain(|id, _| !replaces_all || listed(id));
         for entry in entries {
             self.nodes.insert(entry.node);
             if entry.health == Health::Gone {
