--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -1,26 +1,26 @@
-//! The exchange side of the front: set-ups out, outcomes and group states in.
+//! The exchange side of the call front: handles the messages of exchanges and the connections to them.
 
 use super::*;
 
 impl Platform {
-    pub(in crate::net) fn exchange_line(
+    pub(in crate::net) fn on_exchange_line(
         &mut self,
         exchange: &ExchangeId,
-        conn: ConnId,
+        connection: ConnectionId,
         line: &jsonl::Message,
     ) {
         if self.is_stopped {
-            return; // no client is left to be told; the exchange tells the next process
+            return; // no client can be informed any more; the exchange repeats this to the next process
         }
         let now = self.clock.now();
         let id = CallId(line.tag.as_str().into());
-        let answers = matches!(line.verb.as_str(), "STARTED" | "FINISH");
+        let is_answer = matches!(line.verb.as_str(), "STARTED" | "FINISH");
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        pool.on_line(now, conn, answers.then_some(&id));
+        pool.on_line(now, connection, is_answer.then_some(&id));
         if line.verb == "LOAD" {
-            pool.on_group_state(now, conn);
+            pool.on_group_state(now, connection);
         }
-        let report = line.load.as_deref().map(|load| self.report(load)).unwrap_or_default();
+        let report = line.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
         match line.verb.as_str() {
             "LOAD" => self.core.handle_load_report(now, exchange, report),
             "STARTED" => {
@@ -30,97 +30,115 @@
                 self.core.handle_reply(now, exchange, &id, Reply::Established(description));
             }
             "FINISH" => {
-                let stood = self.core.calls.open.get(&id).is_none_or(|c| c.is_established);
-                let status = end_of(line.cause, stood);
-                let cause = line.note.as_deref().and_then(cause_of);
-                debug!(self.log, "exchange released call"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
-                    "status" => ?status, "cause" => ?line.cause, "note" => line.note.as_deref().unwrap_or(""));
-                self.metrics.count_attempt_outcome(outcome_name(status));
+                let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.is_established);
+                let status = release_status(line.cause, was_established);
+                let cause = line.note.as_deref().and_then(failure_cause);
+                debug!(self.log, "exchange released call"; "call_id" => &*id.0,
+                    "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?line.cause,
+                    "note" => line.note.as_deref().unwrap_or(""));
+                self.metrics.count_attempt_outcome(outcome_label(status));
                 self.core.handle_reply(
                     now,
                     exchange,
                     &id,
                     Reply::Ended { status, failure_cause: cause, load_report: report },
                 );
-                if stood {
-                    self.answer(exchange, conn, &jsonl::reply("FINISHED", &id.0, None));
+                if was_established {
+                    self.send_to_exchange(exchange, connection, &jsonl::reply("FINISHED", &id.0, None));
                 }
             }
-            "ECHO" => self.answer(exchange, conn, &jsonl::reply("ECHOED", &id.0, Some(1))),
+            "ECHO" => self.send_to_exchange(exchange, connection, &jsonl::reply("ECHOED", &id.0, Some(1))),
             _ => {}
         }
         self.flush();
     }
 
-    /// After what was read last, an exchange is in the middle of a line or not.
-    pub(in crate::net) fn exchange_reading(&mut self, exchange: &ExchangeId, conn: ConnId, half: bool) {
+    /// Records whether the last read on a connection ended in the middle of a line.
+    pub(in crate::net) fn on_exchange_read(
+        &mut self,
+        exchange: &ExchangeId,
+        connection: ConnectionId,
+        is_partial: bool,
+    ) {
         let now = self.clock.now();
         if let Some(pool) = self.pools.get_mut(exchange) {
-            pool.on_read(now, conn, half);
+            pool.on_read(now, connection, is_partial);
         }
     }
 
-    pub(super) fn answer(&self, exchange: &ExchangeId, conn: ConnId, bytes: &[u8]) {
+    pub(super) fn send_to_exchange(&self, exchange: &ExchangeId, connection: ConnectionId, bytes: &[u8]) {
         if let Some(pool) = self.pools.get(exchange) {
-            pool.answer(conn, bytes);
+            pool.send(connection, bytes);
         }
     }
 
-    pub(super) fn report(&self, load: &str) -> Vec<f64> {
+    /// Returns the configured gauges of a load report; -1 for a gauge that the report lacks.
+    pub(super) fn parse_load(&self, load: &str) -> Vec<f64> {
         self.gauge_names.iter().map(|name| sip::parameter(load, name).unwrap_or(-1.0)).collect()
     }
 
-    pub(super) fn connect(&mut self, exchange: &ExchangeId) {
-        let (now, id) = (self.clock.now(), ConnId(self.conn()));
+    /// Opens a connection to an exchange if one is needed, or releases its calls if it is out of reach.
+    pub(super) fn connect_if_needed(&mut self, exchange: &ExchangeId) {
+        let (now, id) = (self.clock.now(), ConnectionId(self.next_connection_id()));
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        let missed = pool.is_idle(now) && self.core.has_established_call_at(exchange);
-        if missed && pool.is_out_of_reach(now) {
-            warn!(self.log, "out of reach, its calls are released"; "exchange_id" => &*exchange.0);
+        let is_idle_with_calls = pool.is_idle(now) && self.core.has_established_call_at(exchange);
+        if is_idle_with_calls && pool.is_out_of_reach(now) {
+            warn!(self.log, "exchange out of reach, releasing its calls"; "exchange_id" => &*exchange.0);
             self.core.reset_calls_at(now, exchange);
             return self.flush();
         }
-        if self.is_stopped || !pool.wants_connect(now, missed) || !pool.make_room() {
+        if self.is_stopped || !pool.should_connect(now, is_idle_with_calls) || !pool.make_room() {
             return;
         }
-        pool.connecting = true;
-        let (address, within) = (pool.address, self.connect_timeout);
-        let Some(me) = self.me.upgrade() else { return };
-        tokio::task::spawn_local(sockets::dial(me, exchange.clone(), id, address, within));
+        pool.is_connecting = true;
+        let (address, timeout) = (pool.address, self.connect_timeout);
+        let Some(platform) = self.weak_self.upgrade() else { return };
+        tokio::task::spawn_local(sockets::run_exchange_connection(
+            platform,
+            exchange.clone(),
+            id,
+            address,
+            timeout,
+        ));
     }
 
-    pub(in crate::net) fn exchange_up(
+    pub(in crate::net) fn on_exchange_connected(
         &mut self,
         exchange: &ExchangeId,
-        id: ConnId,
+        id: ConnectionId,
         writes: SharedWriteBuffer,
     ) {
         let now = self.clock.now();
         debug!(self.log, "exchange connected"; "exchange_id" => &*exchange.0, "connection_id" => id.0);
         if let Some(pool) = self.pools.get_mut(exchange) {
-            pool.connected(now, id, writes);
+            pool.on_connected(now, id, writes);
         }
     }
 
-    pub(in crate::net) fn exchange_failed(&mut self, exchange: &ExchangeId, error: &io::Error) {
+    pub(in crate::net) fn on_exchange_connect_failed(&mut self, exchange: &ExchangeId, error: &io::Error) {
         let now = self.clock.now();
-        let refused = error.kind() == io::ErrorKind::ConnectionRefused;
+        let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
         debug!(self.log, "exchange connect failed"; "exchange_id" => &*exchange.0, "error" => %error);
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        let (unsent, died) = pool.failed(now, if refused { Failure::Refused } else { Failure::Silent });
+        let (unsent, has_process_ended) = pool.on_connect_failed(
+            now,
+            if is_refused { ConnectFailure::Refused } else { ConnectFailure::Unreachable },
+        );
         for id in unsent {
-            self.on_connection_reset(exchange, &id, false);
+            self.on_attempt_connection_lost(exchange, &id, false);
         }
-        if died {
-            // Its connections broke and nothing listens any more: what stood there was cut with it.
+        if has_process_ended {
+            // All connections ended and nothing listens any more: the calls at the exchange were cut off with
+            // its process.
             self.core.reset_calls_at(now, exchange);
         }
         self.flush();
     }
 
-    pub(in crate::net) fn exchange_down(
+    pub(in crate::net) fn on_exchange_disconnected(
         &mut self,
         exchange: &ExchangeId,
-        id: ConnId,
+        id: ConnectionId,
         reason: CloseReason,
         ended: &io::Result<()>,
     ) {
@@ -129,48 +147,55 @@
             "reason" => reason.as_str(), "end" => ?ended);
         self.metrics.count_exchange_close(reason.as_str());
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        for id in pool.closed(now, id) {
-            // Guards against circuits held for nobody: the set-up may have run, and its answer been spoilt or
-            // cut off. Whatever stands there is released before the call goes there again.
+        for id in pool.on_closed(now, id) {
+            // The set-up may have succeeded with its answer corrupted or cut off. Any call established there
+            // is released before the next attempt, so that it does not hold circuits that nobody uses.
             let exchange_id = Some(exchange.clone());
             self.carry_out(Effect::ReleaseAtExchange {
                 exchange: exchange_id,
                 call: id.clone(),
                 cause: CAUSE_NORMAL_CLEARING,
             });
-            self.on_connection_reset(exchange, &id, true);
+            self.on_attempt_connection_lost(exchange, &id, true);
         }
-        self.connect(exchange);
+        self.connect_if_needed(exchange);
         self.flush();
     }
 
-    pub(super) fn on_connection_reset(&mut self, exchange: &ExchangeId, id: &CallId, ran: bool) {
-        let status = ExchangePool::status(ran);
+    /// Reports an attempt to the core whose connection has ended or was never opened.
+    pub(super) fn on_attempt_connection_lost(
+        &mut self,
+        exchange: &ExchangeId,
+        id: &CallId,
+        may_have_run: bool,
+    ) {
+        let status = ExchangePool::status_after_loss(may_have_run);
         if self.core.calls.open.get(id).is_some_and(|c| !c.is_established) {
-            debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0, "exchange_id" => &*exchange.0,
-                "status" => ?status);
-            self.metrics.count_attempt_outcome(outcome_name(status));
+            debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0,
+                "exchange_id" => &*exchange.0, "status" => ?status);
+            self.metrics.count_attempt_outcome(outcome_label(status));
             let reply = Reply::Ended { status, failure_cause: None, load_report: Vec::new() };
             self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
     }
 }
 
-/// How an attempt, or a call that stood, has ended.
-fn end_of(cause: Option<u32>, stood: bool) -> AttemptStatus {
-    match (cause, stood) {
+/// Returns the status of an attempt, or of an established call, that its exchange has released.
+fn release_status(cause: Option<u32>, was_established: bool) -> AttemptStatus {
+    match (cause, was_established) {
         (Some(41), _) => AttemptStatus::Reset,
         (_, true) => AttemptStatus::Ended,
         (Some(34), false) => AttemptStatus::Full,
         (Some(102), false) => AttemptStatus::Moot,
-        // Guards against repeating what ran: the call stood there and came to its end, and its answer was lost.
-        // (What is given up here is settled at once, and is no longer open when its end is heard of.)
+        // The call was established at the exchange and ended normally, and its answer was lost: it must not
+        // be set up again. (A call that the router has given up is closed at once, so its release does not
+        // get here.)
         (Some(16), false) => AttemptStatus::Ended,
         _ => AttemptStatus::Error,
     }
 }
 
-fn cause_of(note: &str) -> Option<FailureCause> {
+fn failure_cause(note: &str) -> Option<FailureCause> {
     Some(match note {
         "group_full" => FailureCause::NoCircuit,
         "tandem_refused" => FailureCause::CrankedBack,
@@ -181,8 +206,8 @@
     })
 }
 
-/// The word for an outcome in the metrics.
-fn outcome_name(status: AttemptStatus) -> &'static str {
+/// Returns the value of the label `outcome` in the metrics.
+fn outcome_label(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Ended => "ended",
         AttemptStatus::Error => "error",
