--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use crate::checker::RuleChecker;
-use crate::scenario::{Party, Scenario};
+use crate::scenario::{Component, Scenario};
 
 /// An empty frame follows each second.
 const HEARTBEAT: Duration = Duration::from_secs(1);
@@ -42,13 +42,13 @@
     /// Id of the exchange.
     pub id: u32,
     /// Place of the exchange.
-    pub place: u32,
+    pub node: u32,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its state from now on.
     pub state: State,
     /// Unix milliseconds of a late start, or 0.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,8 +83,8 @@
             current: watch::Sender::new(0),
             generation: watch::Sender::new(0),
             break_amid: Cell::new(false),
-            listen: scenario.address(Party::Coordinator),
-            pieces: scenario.pieces,
+            listen: scenario.address(Component::Coordinator),
+            pieces: scenario.has_split_writes,
         })
     }
 
@@ -108,11 +108,11 @@
     }
 
     /// Publishes a change.
-    pub fn publish(&self, id: u32, place: u32, address: SocketAddr, state: State, born_ms: u64) {
+    pub fn publish(&self, id: u32, node: u32, address: SocketAddr, state: State, started_ms: u64) {
         let number = self.last() + 1;
-        self.events.borrow_mut().push(Event { number, id, place, address, state, born_ms });
+        self.events.borrow_mut().push(Event { number, id, node, address, state, started_ms });
         let mut checker = self.checker.borrow_mut();
-        checker.record_event(format!("membership {number}: s-{id:08x} at place {place} {state:?}"));
+        checker.record_event(format!("membership {number}: s-{id:08x} at node {node} {state:?}"));
         match state {
             State::Ready => checker.on_listed_ready(id),
             _ if self.mode.get() == Mode::Serving => {
@@ -264,8 +264,8 @@
     frame.extend(event.address.port().to_be_bytes());
     frame.push(event.state as u8);
     frame.extend([0, 0]);
-    frame.extend((event.place as u16).to_be_bytes());
+    frame.extend((event.node as u16).to_be_bytes());
     frame.extend(1000_u32.to_be_bytes());
-    frame.extend(event.born_ms.to_be_bytes());
+    frame.extend(event.started_ms.to_be_bytes());
     frame
 }
