--- a/src/net/client_connections.rs
+++ b/src/net/client_connections.rs
@@ -29,7 +29,7 @@
     /// Time since which a message has been incomplete.
     partial_message_since: Option<Duration>,
     /// Whether a call on it has been answered 200, so that its client is known to follow the protocol.
-    is_proven: bool,
+    has_served_call: bool,
     protocol_errors: u32,
     /// Set if the connection is to be closed as soon as its open requests are answered.
     requested_close: Option<CloseReason>,
@@ -43,7 +43,7 @@
             opened_at: now,
             last_received_at: None,
             partial_message_since: None,
-            is_proven: false,
+            has_served_call: false,
             protocol_errors: 0,
             requested_close: None,
         }
@@ -91,8 +91,9 @@
     pub fn admit(&mut self, now: Duration, id: u64, writes: SharedWriteBuffer) -> bool {
         if self.open.len() >= self.limit {
             let idle = self.open.values_mut().filter(|c| c.is_idle());
-            let usefulness =
-                |c: &&mut ClientConnection| (c.is_proven, c.last_received_at.is_some(), c.last_used_at());
+            let usefulness = |c: &&mut ClientConnection| {
+                (c.has_served_call, c.last_received_at.is_some(), c.last_used_at())
+            };
             let Some(evicted) = idle.min_by_key(usefulness) else { return false };
             evicted.request_close(CloseReason::Evicted);
             if self.open.len() >= self.limit + MAX_CLOSING {
@@ -175,7 +176,7 @@
     /// Records that a call on a connection has been answered.
     pub fn on_call_answered(&mut self, id: u64) {
         if let Some(client) = self.open.get_mut(&id) {
-            client.is_proven = true;
+            client.has_served_call = true;
         }
     }
 
@@ -193,7 +194,8 @@
         let is_usable =
             |id: &u64| Some(*id) != excluded && self.open.get(id).is_some_and(|c| c.writes.is_open());
         let others = self.open.iter().filter(|(id, _)| is_usable(id));
-        let best = |(id, c): &(&u64, &ClientConnection)| (c.is_open(), c.is_proven, c.last_received_at, **id);
+        let best =
+            |(id, c): &(&u64, &ClientConnection)| (c.is_open(), c.has_served_call, c.last_received_at, **id);
         own.filter(is_usable).or_else(|| others.max_by_key(best).map(|(id, _)| *id))
     }
 
@@ -201,12 +203,12 @@
     /// was not completed in time.
     pub fn sweep(&mut self, now: Duration) -> Vec<u64> {
         let mut overdue = Vec::new();
-        let proven_count = self.open.values().filter(|c| c.is_proven && c.is_open()).count();
+        let serving_count = self.open.values().filter(|c| c.has_served_call && c.is_open()).count();
         for (id, client) in self.open.iter_mut().filter(|(_, c)| c.is_open()) {
             let is_silent = client.last_received_at.is_none() && now >= client.opened_at + MESSAGE_TIMEOUT;
             let has_expired = now >= client.last_used_at() + IDLE_TIMEOUT;
             // The last connection whose client serves calls is kept, to carry releases.
-            let is_expendable = !client.is_proven || proven_count > 1;
+            let is_expendable = !client.has_served_call || serving_count > 1;
             if client.partial_message_since.is_some_and(|since| now >= since + MESSAGE_TIMEOUT) {
                 overdue.push(*id);
             } else if is_silent && client.is_idle() {
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -214,8 +214,8 @@
     }
 
     /// Returns why the connection has ended, given the result of [`run_connection`].
-    pub fn end_reason(&self, ended: &io::Result<()>) -> CloseReason {
-        match (self.close_reason(), ended) {
+    pub fn end_reason(&self, result: &io::Result<()>) -> CloseReason {
+        match (self.close_reason(), result) {
             (Some(reason), _) => reason,
             (None, Ok(())) => CloseReason::ClosedByPeer,
             (None, Err(_)) => CloseReason::SocketError,
@@ -257,9 +257,9 @@
     let (reader, writer) = stream.into_split();
     let mut connection =
         Connection { reader, writer, writes, on_bytes, is_reading: true, output: Vec::new(), written: 0 };
-    let ended = connection.run().await;
+    let result = connection.run().await;
     writes.is_finished.set(true);
-    ended
+    result
 }
 
 /// A connection in use, and the bytes being written on it.
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -282,12 +282,12 @@
         &mut self,
         client: u64,
         reason: CloseReason,
-        ended: &io::Result<()>,
+        result: &io::Result<()>,
     ) {
         let now = self.clock.now();
         let dropped = self.clients.remove(client);
         debug!(self.log, "client disconnected"; "connection_id" => client, "reason" => reason.as_str(),
-            "open_requests" => dropped.len(), "end" => ?ended);
+            "open_requests" => dropped.len(), "end" => ?result);
         self.metrics.count_client_close(reason.as_str());
         for id in dropped {
             let (call, reason) = (&*id.0, reason.as_str());
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -144,11 +144,11 @@
         exchange: &ExchangeId,
         id: ConnectionId,
         reason: CloseReason,
-        ended: &io::Result<()>,
+        result: &io::Result<()>,
     ) {
         let now = self.clock.now();
         debug!(self.log, "exchange disconnected"; "exchange_id" => &*exchange.0, "connection_id" => id.0,
-            "reason" => reason.as_str(), "end" => ?ended);
+            "reason" => reason.as_str(), "end" => ?result);
         self.metrics.count_exchange_close(reason.as_str());
         let Some(pool) = self.pools.get_mut(exchange) else { return };
         for id in pool.on_closed(now, id) {
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -41,7 +41,7 @@
             let writes: SharedWriteBuffer = platform.borrow().server_buffer();
             platform.borrow_mut().on_exchange_connected(&exchange, id, writes.clone());
             let mut decoder = jsonl::Decoder::default();
-            let ended = connection::run_connection(stream, &writes, |bytes| {
+            let result = connection::run_connection(stream, &writes, |bytes| {
                 decoder.feed(bytes);
                 loop {
                     match decoder.next_message() {
@@ -62,9 +62,9 @@
                 }
             })
             .await;
-            let reason = writes.end_reason(&ended);
+            let reason = writes.end_reason(&result);
             writes.close(reason);
-            platform.borrow_mut().on_exchange_disconnected(&exchange, id, reason, &ended);
+            platform.borrow_mut().on_exchange_disconnected(&exchange, id, reason, &result);
         }
         Err(e) => platform.borrow_mut().on_exchange_connect_failed(&exchange, &e),
     }
@@ -114,7 +114,7 @@
 
 async fn run_client(platform: Handle, client: u64, stream: TcpStream, writes: SharedWriteBuffer) {
     let mut decoder = sip::Decoder::default();
-    let ended = connection::run_connection(stream, &writes, |bytes| {
+    let result = connection::run_connection(stream, &writes, |bytes| {
         decoder.feed(bytes);
         loop {
             match decoder.next_message() {
@@ -131,9 +131,9 @@
         }
     })
     .await;
-    let reason = writes.end_reason(&ended);
+    let reason = writes.end_reason(&result);
     writes.close(reason);
-    platform.borrow_mut().on_client_disconnected(client, reason, &ended);
+    platform.borrow_mut().on_client_disconnected(client, reason, &result);
 }
 
 /// Receives the exchange list from the coordinator. Connects again, asking for the events after the last one
@@ -177,15 +177,15 @@
                 Err(io::ErrorKind::TimedOut.into())
             };
             tokio::select! {
-                ended = transfer => ended,
-                timed_out = silence_timeout => timed_out,
+                result = transfer => result,
+                result = silence_timeout => result,
             }
         };
         tokio::select! {
-            ended = session => {
-                let reason = coordinator_close_reason(&ended);
+            result = session => {
+                let reason = coordinator_close_reason(&result);
                 info!(log, "coordinator disconnected"; "address" => %address, "reason" => reason,
-                    "end" => ?ended);
+                    "end" => ?result);
                 platform.borrow().metrics.count_discovery_close(reason);
             }
             () = changed.notified() => {
@@ -202,8 +202,8 @@
 }
 
 /// Returns why a connection to the coordinator has ended, as used in the log and in the metrics.
-fn coordinator_close_reason(ended: &io::Result<()>) -> &'static str {
-    match ended {
+fn coordinator_close_reason(result: &io::Result<()>) -> &'static str {
+    match result {
         Ok(()) => "closed_by_peer",
         Err(e) if e.kind() == io::ErrorKind::TimedOut => "silent",
         Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => "refused",
--- a/tests/lost_requests.rs
+++ b/tests/lost_requests.rs
@@ -205,7 +205,7 @@
     let line = json!({"verb": "FINISH", "tag": "0000000000000e00", "opts": {}, "rc": 16});
     let _ = (&stream).write_all(format!("{line}\n").as_bytes());
     let confirmed = exchange.receive_within("FINISHED", Duration::from_millis(300));
-    assert!(confirmed.is_none(), "confirmed with no client to tell");
+    assert!(confirmed.is_none(), "confirmed although no client could be informed");
 }
 
 /// Guards against a release that is given up 1.2 s after the end of its call, when only clients that never
