--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -17,7 +17,7 @@
 
 use crate::checker::{Counts, Rule, RuleChecker, Violation};
 use crate::client::Clients;
-use crate::coordinator::{Coordinator, State};
+use crate::coordinator::{Coordinator, ExchangeState};
 use crate::exchange::Exchange;
 use crate::router::{ConfigFile, Router};
 use crate::scenario::{Component, Scenario, Step};
@@ -80,7 +80,7 @@
     let seed = scenario.seed;
     let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.rules.clone())));
     let coordinator = Coordinator::new(checker.clone(), &scenario);
-    let address = coordinator.open().await?;
+    let address = coordinator.open_address().await?;
     let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchange_count)
         .map(|node| Exchange::start(checker.clone(), scenario.clone(), node))
         .collect::<io::Result<_>>()?;
@@ -156,9 +156,9 @@
 
     async fn apply_fault(self: Rc<Self>, step: Step) {
         match step {
-            Step::DiscoverySilent(length) => return self.coordinator.fall_silent(length).await,
+            Step::DiscoverySilent(length) => return self.coordinator.stop_sending(length).await,
             Step::DiscoveryDown(length) => return self.coordinator.go_down(length).await,
-            Step::DiscoveryBreak => return self.coordinator.break_off(),
+            Step::DiscoveryBreak => return self.coordinator.break_next_frame(),
             Step::Crowd(connections) => return self.clients.crowd(connections).await,
             _ => {}
         }
@@ -185,23 +185,23 @@
             Step::EarlyCloses(_, length) => exchange.close_early(length).await,
             Step::Vanish(_, length) => {
                 let started_ms = exchange.fail_silently(length).await;
-                self.publish(&exchange, State::Ready, started_ms);
+                self.publish(&exchange, ExchangeState::Ready, started_ms);
             }
             Step::Replace { drain_for, gone_for, new_id, .. } => {
-                self.publish(&exchange, State::Draining, 0);
+                self.publish(&exchange, ExchangeState::Draining, 0);
                 sleep(drain_for).await;
                 exchange.stop_process(false);
-                self.publish(&exchange, State::Gone, 0);
+                self.publish(&exchange, ExchangeState::Gone, 0);
                 sleep(gone_for).await;
                 let started_ms = exchange.start_process(new_id);
-                self.publish(&exchange, State::Ready, started_ms);
+                self.publish(&exchange, ExchangeState::Ready, started_ms);
             }
             _ => {}
         }
         exchange.has_active_fault.set(false);
     }
 
-    fn publish(&self, exchange: &Exchange, state: State, started_ms: u64) {
+    fn publish(&self, exchange: &Exchange, state: ExchangeState, started_ms: u64) {
         self.coordinator.publish(exchange.id(), exchange.node, exchange.address, state, started_ms);
     }
 
@@ -214,14 +214,14 @@
         for exchange in &self.exchanges {
             let last = events.iter().rev().find(|e| e.id == exchange.id());
             let state = match last.map(|e| e.state) {
-                None | Some(State::Ready) => "active",
-                Some(State::Draining) => "leaving",
-                Some(State::Gone) => continue,
+                None | Some(ExchangeState::Ready) => "active",
+                Some(ExchangeState::Draining) => "leaving",
+                Some(ExchangeState::Gone) => continue,
             };
             let started_ms = last.map_or(0, |e| e.started_ms);
             hosts.push(self.host_entry(exchange.id(), exchange.node, state, exchange.address, started_ms));
         }
-        let index = self.coordinator.last();
+        let index = self.coordinator.last_event_number();
         json!({"index": index,
             "updates": [{"index": index, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]})
     }
@@ -331,7 +331,7 @@
 
     async fn reload(&self, router: &Router, count: u32, gap: Duration) -> io::Result<()> {
         for _ in 0..count {
-            let address = self.coordinator.open().await?;
+            let address = self.coordinator.open_address().await?;
             self.config.borrow_mut().set("coordinator", json!(address.to_string()));
             self.config.borrow().write()?;
             self.record_event(format!("SIGHUP, coordinator at {address}"));
