--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -1,5 +1,5 @@
-//! Emulated clients: connections that are kept or made for one request, slow writers, clients that give up
-//! early or repeat at once, crowds, and clients that break the protocol.
+//! Emulated clients. They send requests on persistent connections or on a new one each, write slowly, give up
+//! early, redial after a refusal, open many idle connections, and violate the protocol.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,156 +18,170 @@
 use crate::scenario::Scenario;
 use crate::sip::{self, Message};
 
-/// Pause before a connection is tried again.
-const RECONNECT: Duration = Duration::from_millis(20);
-/// A client that breaks the protocol is owed a refusal or a close within this.
-const OWED: Duration = Duration::from_secs(3);
-/// A request that is repeated brings so many more at most.
-const MAX_REPEATS: u32 = 2;
+/// Time from a failed connection attempt to the next one.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// Time within which the router has to answer or disconnect a client that violates the protocol.
+const BAD_CLIENT_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A refused client may redial unless a number drawn from 0 up to this one is 0. It redials once at most.
+const MAX_REDIAL_DRAW: u32 = 2;
 
-/// What is written on a connection.
-enum Out {
-    /// A request; it is written as slowly as told.
+/// Item in the queue of a connection to the router.
+enum Outgoing {
+    /// A request, written at the given pace.
     Request(Request, Pace),
-    /// Another message.
+    /// Any other message.
     Message(Vec<u8>),
-    /// The client closes the connection.
+    /// Closes the connection.
     Close,
-    /// The client resets the connection.
+    /// Resets the connection.
     Reset,
 }
 
-/// How fast a message is written.
+/// Speed at which a message is written.
 #[derive(Debug, Clone, Copy)]
 enum Pace {
     AtOnce,
-    /// In so many pieces, over this time.
-    Pieces(usize, Duration),
+    /// In this number of pieces, spread over this time.
+    Split(usize, Duration),
 }
 
-/// All clients.
+/// All emulated clients of a run.
 pub struct Clients {
-    me: Weak<Self>,
+    weak_self: Weak<Self>,
     checker: Rc<RefCell<RuleChecker>>,
     scenario: Rc<Scenario>,
     rng: RefCell<Rng>,
-    router: SocketAddr,
-    next: Cell<u64>,
-    connections: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Out>>>,
-    /// Connections that are kept, so open for any request.
-    kept: RefCell<Vec<u64>>,
+    router_address: SocketAddr,
+    last_connection: Cell<u64>,
+    connections: RefCell<BTreeMap<u64, mpsc::UnboundedSender<Outgoing>>>,
+    /// Numbers of the connections that are kept open and shared by requests.
+    persistent_connections: RefCell<Vec<u64>>,
     is_active: Cell<bool>,
 }
 
 impl Clients {
-    /// Starts the clients of a router.
-    pub fn start(checker: Rc<RefCell<RuleChecker>>, scenario: Rc<Scenario>, router: SocketAddr) -> Rc<Self> {
-        let clients = Rc::new_cyclic(|me| Self {
-            me: me.clone(),
+    /// Starts the clients of the router at an address.
+    pub fn start(
+        checker: Rc<RefCell<RuleChecker>>,
+        scenario: Rc<Scenario>,
+        router_address: SocketAddr,
+    ) -> Rc<Self> {
+        let clients = Rc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             checker,
             rng: RefCell::new(Rng::with_seed(scenario.seed ^ 0xc11e)),
-            router,
-            next: Cell::new(0),
+            router_address,
+            last_connection: Cell::new(0),
             connections: RefCell::default(),
-            kept: RefCell::default(),
+            persistent_connections: RefCell::default(),
             is_active: Cell::new(true),
             scenario,
         });
         for _ in 0..clients.scenario.client_connections {
-            tokio::task::spawn_local(clients.clone().keep_connection());
+            tokio::task::spawn_local(clients.clone().maintain_connection());
         }
-        tokio::task::spawn_local(clients.clone().generate());
+        tokio::task::spawn_local(clients.clone().generate_requests());
         if clients.scenario.has_bad_clients {
-            tokio::task::spawn_local(clients.clone().misbehave());
+            tokio::task::spawn_local(clients.clone().run_bad_clients());
         }
         clients
     }
 
-    /// No new request is begun any more.
-    pub fn rest(&self) {
+    /// Stops sending new requests.
+    pub fn stop_requests(&self) {
         self.is_active.set(false);
     }
 
-    fn number(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+    fn next_connection_number(&self) -> u64 {
+        self.last_connection.set(self.last_connection.get() + 1);
+        self.last_connection.get()
     }
 
-    fn this(&self) -> Option<Rc<Self>> {
-        self.me.upgrade()
+    fn upgrade_self(&self) -> Option<Rc<Self>> {
+        self.weak_self.upgrade()
     }
 
-    /// A connection that is made again at once when it ends.
-    async fn keep_connection(self: Rc<Self>) {
+    /// Keeps a persistent connection open, and reconnects when it closes.
+    async fn maintain_connection(self: Rc<Self>) {
         loop {
-            match TcpStream::connect(self.router).await {
+            match TcpStream::connect(self.router_address).await {
                 Ok(stream) => {
-                    let (number, running) = self.clone().open(stream);
-                    self.kept.borrow_mut().push(number);
+                    let (number, running) = self.clone().register_connection(stream);
+                    self.persistent_connections.borrow_mut().push(number);
                     running.await;
                 }
-                Err(_) => sleep(RECONNECT).await,
+                Err(_) => sleep(RECONNECT_DELAY).await,
             }
         }
     }
 
-    /// Registers a connection; the future reads and writes on it until it ends.
-    fn open(self: Rc<Self>, stream: TcpStream) -> (u64, impl std::future::Future<Output = ()>) {
-        let (number, (sender, receiver)) = (self.number(), mpsc::unbounded_channel());
+    /// Registers a connection. Returns its number and a future that reads and writes on it until it closes.
+    fn register_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+    ) -> (u64, impl std::future::Future<Output = ()>) {
+        let (number, (sender, receiver)) = (self.next_connection_number(), mpsc::unbounded_channel());
         self.connections.borrow_mut().insert(number, sender);
-        (number, self.run(stream, number, receiver))
+        (number, self.run_connection(stream, number, receiver))
     }
 
-    async fn run(self: Rc<Self>, stream: TcpStream, number: u64, mut receiver: mpsc::UnboundedReceiver<Out>) {
+    async fn run_connection(
+        self: Rc<Self>,
+        stream: TcpStream,
+        number: u64,
+        mut receiver: mpsc::UnboundedReceiver<Outgoing>,
+    ) {
         let _ = stream.set_nodelay(true);
         let (mut reader, mut writer) = stream.into_split();
-        let closed_by_client = tokio::select! {
-            () = self.read(&mut reader, number) => false,
-            closed = self.write(&mut writer, &mut receiver, number) => closed,
+        let is_closed_by_client = tokio::select! {
+            () = self.read_messages(&mut reader, number) => false,
+            by_client = self.write_messages(&mut writer, &mut receiver, number) => by_client,
         };
         self.connections.borrow_mut().remove(&number);
-        self.kept.borrow_mut().retain(|n| *n != number);
-        let excuse = closed_by_client.then_some("closed by its client");
-        let again = self.checker.borrow_mut().on_client_connection_closed(number, excuse);
-        for request in again {
-            let me = self.clone();
-            tokio::task::spawn_local(async move { me.send_alone(request, Pace::AtOnce).await });
+        self.persistent_connections.borrow_mut().retain(|n| *n != number);
+        let excuse = is_closed_by_client.then_some("closed by its client");
+        let crossed = self.checker.borrow_mut().on_client_connection_closed(number, excuse);
+        for request in crossed {
+            let clients = self.clone();
+            tokio::task::spawn_local(
+                async move { clients.send_on_new_connection(request, Pace::AtOnce).await },
+            );
         }
     }
 
-    async fn write(
+    async fn write_messages(
         &self,
         writer: &mut OwnedWriteHalf,
-        receiver: &mut mpsc::UnboundedReceiver<Out>,
+        receiver: &mut mpsc::UnboundedReceiver<Outgoing>,
         number: u64,
     ) -> bool {
-        while let Some(out) = receiver.recv().await {
-            let written = match out {
-                Out::Message(bytes) => writer.write_all(&bytes).await,
-                Out::Request(request, pace) => {
+        while let Some(outgoing) = receiver.recv().await {
+            let written = match outgoing {
+                Outgoing::Message(bytes) => writer.write_all(&bytes).await,
+                Outgoing::Request(request, pace) => {
                     self.checker.borrow_mut().on_request_started(request.clone(), number);
-                    let written = write_paced(writer, &self.invite(&request), pace).await;
+                    let written = write_at_pace(writer, &self.invite_message(&request), pace).await;
                     if written.is_ok() {
                         self.checker.borrow_mut().on_request_written(&request.call_id);
-                        self.plan_patience(&request, number);
+                        self.schedule_abandonment(&request, number);
                     }
                     written
                 }
-                Out::Close => return true,
-                Out::Reset => {
+                Outgoing::Close => return true,
+                Outgoing::Reset => {
                     let _ = writer.as_ref().set_zero_linger();
                     return true;
                 }
             };
             if written.is_err() {
-                // What the router has said before its end is still read.
+                // What the router sent before the connection failed is still read.
                 return std::future::pending().await;
             }
         }
         true
     }
 
-    fn invite(&self, request: &Request) -> Vec<u8> {
+    fn invite_message(&self, request: &Request) -> Vec<u8> {
         let class = self.scenario.rules.classes[request.class].name;
         let headers = format!(
             "X-Call-Class: {class}\r\nX-Ring-Limit: {}\r\nX-Dest: dest:{};width:1;via:-1\r\n",
@@ -177,9 +191,10 @@
         sip::request("INVITE", &request.called_number, &request.call_id, &headers, &request.description)
     }
 
-    /// Some clients give up early: they withdraw the request, or close the connection.
-    fn plan_patience(&self, request: &Request, number: u64) {
-        let (gives_up, closes, resets, after) = {
+    /// Draws whether the client gives the request up before its deadline, by a CANCEL or by ending the
+    /// connection.
+    fn schedule_abandonment(&self, request: &Request, number: u64) {
+        let (is_abandoned, closes_connection, resets_connection, after) = {
             let mut rng = self.rng.borrow_mut();
             (
                 rng.f64() < self.scenario.abandon_share,
@@ -188,87 +203,87 @@
                 request.ring_limit.mul_f64(rng.f64()),
             )
         };
-        let Some(me) = self.this().filter(|_| gives_up) else { return };
-        let call = request.call_id.clone();
+        let Some(clients) = self.upgrade_self().filter(|_| is_abandoned) else { return };
+        let call_id = request.call_id.clone();
         tokio::task::spawn_local(async move {
             sleep(after).await;
-            if closes {
-                me.send(number, if resets { Out::Reset } else { Out::Close });
+            if closes_connection {
+                clients.send(number, if resets_connection { Outgoing::Reset } else { Outgoing::Close });
                 return;
             }
-            me.checker.borrow_mut().on_cancelled(&call);
-            me.send(number, Out::Message(sip::request("CANCEL", "1", &call, "", "")));
+            clients.checker.borrow_mut().on_cancelled(&call_id);
+            clients.send(number, Outgoing::Message(sip::request("CANCEL", "1", &call_id, "", "")));
         });
     }
 
-    fn send(&self, number: u64, out: Out) -> bool {
-        self.connections.borrow().get(&number).is_some_and(|sender| sender.send(out).is_ok())
+    fn send(&self, number: u64, outgoing: Outgoing) -> bool {
+        self.connections.borrow().get(&number).is_some_and(|sender| sender.send(outgoing).is_ok())
     }
 
-    async fn read(&self, reader: &mut OwnedReadHalf, number: u64) {
+    async fn read_messages(&self, reader: &mut OwnedReadHalf, number: u64) {
         let (mut bytes, mut input) = (Vec::new(), vec![0; 16 * 1024]);
         while let Ok(n @ 1..) = reader.read(&mut input).await {
             bytes.extend_from_slice(&input[..n]);
             while let Some(message) = sip::take(&mut bytes) {
-                self.on_message(&message, number);
+                self.handle_message(&message, number);
             }
         }
     }
 
-    fn on_message(&self, message: &Message, number: u64) {
-        let call = message.header("Call-ID").unwrap_or_default().to_owned();
+    fn handle_message(&self, message: &Message, number: u64) {
+        let call_id = message.header("Call-ID").unwrap_or_default().to_owned();
         if message.first.starts_with("BYE ") {
-            self.checker.borrow_mut().on_released(&call);
-            self.send(number, Out::Message(sip::bye_confirmed(&call)));
+            self.checker.borrow_mut().on_released(&call_id);
+            self.send(number, Outgoing::Message(sip::bye_confirmed(&call_id)));
             return;
         }
-        let is_final = message.status().filter(|s| *s >= 200);
-        let to_invite = message.header("CSeq").is_some_and(|c| c.ends_with("INVITE"));
-        let Some(status) = is_final.filter(|_| to_invite) else { return };
+        let final_status = message.status().filter(|s| *s >= 200);
+        let answers_invite = message.header("CSeq").is_some_and(|c| c.ends_with("INVITE"));
+        let Some(status) = final_status.filter(|_| answers_invite) else { return };
         let hold_off = message.header("X-Hold-Off").and_then(|v| v.parse().ok());
-        let stands = self.checker.borrow_mut().on_answer(&call, status, &message.body, hold_off);
-        self.send(number, Out::Message(sip::request("ACK", "1", &call, "", "")));
-        if stands {
-            self.plan_hang_up(call, number);
+        let is_established = self.checker.borrow_mut().on_answer(&call_id, status, &message.body, hold_off);
+        self.send(number, Outgoing::Message(sip::request("ACK", "1", &call_id, "", "")));
+        if is_established {
+            self.schedule_hang_up(call_id, number);
         } else {
-            self.plan_repeat(hold_off);
+            self.schedule_redial(hold_off);
         }
     }
 
-    fn plan_hang_up(&self, call: String, number: u64) {
-        let withdrawn = self.checker.borrow().is_cancelled(&call);
+    fn schedule_hang_up(&self, call_id: String, number: u64) {
+        let is_cancelled = self.checker.borrow().is_cancelled(&call_id);
         let (hangs_up, after) = {
             let mut rng = self.rng.borrow_mut();
             (rng.u8(..6) == 0, Duration::from_millis(rng.u64(0..800)))
         };
-        let Some(me) = self.this().filter(|_| withdrawn || hangs_up) else { return };
+        let Some(clients) = self.upgrade_self().filter(|_| is_cancelled || hangs_up) else { return };
         tokio::task::spawn_local(async move {
-            sleep(if withdrawn { Duration::ZERO } else { after }).await;
-            if me.send(number, Out::Message(sip::request("BYE", "1", &call, "", ""))) {
-                me.checker.borrow_mut().on_hung_up(&call);
+            sleep(if is_cancelled { Duration::ZERO } else { after }).await;
+            if clients.send(number, Outgoing::Message(sip::request("BYE", "1", &call_id, "", ""))) {
+                clients.checker.borrow_mut().on_hung_up(&call_id);
             }
         });
     }
 
-    /// A refused client comes again after the time told, or at once.
-    fn plan_repeat(&self, hold_off: Option<u64>) {
-        let repeats = self.rng.borrow_mut().u32(..=MAX_REPEATS);
-        let Some(me) = self.this().filter(|_| repeats > 0) else { return };
+    /// Draws whether a refused client redials, after the hold-off or at once.
+    fn schedule_redial(&self, hold_off: Option<u64>) {
+        let redial_draw = self.rng.borrow_mut().u32(..=MAX_REDIAL_DRAW);
+        let Some(clients) = self.upgrade_self().filter(|_| redial_draw > 0) else { return };
         tokio::task::spawn_local(async move {
-            if !me.scenario.ignores_hold_off {
+            if !clients.scenario.ignores_hold_off {
                 sleep(Duration::from_millis(hold_off.unwrap_or(500))).await;
             }
-            if me.is_active.get() && me.rng.borrow_mut().u8(..3) == 0 {
-                me.begin_request();
+            if clients.is_active.get() && clients.rng.borrow_mut().u8(..3) == 0 {
+                clients.start_request();
             }
         });
     }
 
-    async fn generate(self: Rc<Self>) {
+    async fn generate_requests(self: Rc<Self>) {
         while self.is_active.get() {
             let gap = -self.rng.borrow_mut().f64().max(1e-9).ln() / self.scenario.requests_per_s;
             sleep(Duration::from_secs_f64(gap)).await;
-            self.begin_request();
+            self.start_request();
         }
     }
 
@@ -281,7 +296,7 @@
             0 => Duration::from_millis(rng.u64(3..60)),
             _ => classes[class].deadline.mul_f64(share),
         };
-        let unknown = rng.u8(..40) == 0;
+        let is_unknown = rng.u8(..40) == 0;
         let filler =
             if rng.u8(..30) == 0 { "m=audio 31000 RTP/AVP 0\r\n".repeat(400) } else { String::new() };
         Request {
@@ -290,55 +305,55 @@
             called_number: format!("+386{:08}", rng.u32(..100_000_000)),
             description: format!("{:016x}\r\nc=IN IP4 10.4.7.9\r\n\"q\\ ž\r\n{filler}", rng.u64(..)),
             ring_limit: ring_limit.max(Duration::from_millis(3)),
-            destination: if unknown { 77 } else { rng.u32(1..self.scenario.exchange_count) },
+            destination: if is_unknown { 77 } else { rng.u32(1..self.scenario.exchange_count) },
         }
     }
 
-    /// Sends a request on a kept connection, or on one of its own.
-    fn begin_request(&self) {
+    /// Sends a new request on a persistent connection or on a new one.
+    fn start_request(&self) {
         let request = self.draw_request();
         let (kind, pieces, pause, pick) = {
             let mut rng = self.rng.borrow_mut();
             (rng.u8(..100), rng.usize(2..6), rng.u64(1..80), rng.usize(..))
         };
-        let chopped = Pace::Pieces(pieces, Duration::from_millis(pause));
-        let pace = if self.scenario.has_split_writes && kind % 3 == 0 { chopped } else { Pace::AtOnce };
-        let kept = self.kept.borrow();
-        if kind < 80 && !kept.is_empty() {
-            self.send(kept[pick % kept.len()], Out::Request(request, pace));
+        let split = Pace::Split(pieces, Duration::from_millis(pause));
+        let pace = if self.scenario.has_split_writes && kind % 3 == 0 { split } else { Pace::AtOnce };
+        let persistent = self.persistent_connections.borrow();
+        if kind < 80 && !persistent.is_empty() {
+            self.send(persistent[pick % persistent.len()], Outgoing::Request(request, pace));
             return;
         }
-        let slow = Pace::Pieces(8, Duration::from_millis(pause * 25));
+        let slow = Pace::Split(8, Duration::from_millis(pause * 25));
         let pace = if kind >= 97 { slow } else { pace };
-        if let Some(me) = self.this() {
-            tokio::task::spawn_local(async move { me.send_alone(request, pace).await });
+        if let Some(clients) = self.upgrade_self() {
+            tokio::task::spawn_local(async move { clients.send_on_new_connection(request, pace).await });
         }
     }
 
-    /// Sends a request on a connection of its own, which is closed some time after it.
-    async fn send_alone(self: Rc<Self>, request: Request, pace: Pace) {
-        let (call, ring_limit) = (request.call_id.clone(), request.ring_limit);
-        let Ok(stream) = TcpStream::connect(self.router).await else {
-            return self.checker.borrow_mut().on_connect_failed(&call);
+    /// Sends a request on a new connection, which is closed some time after the request's deadline.
+    async fn send_on_new_connection(self: Rc<Self>, request: Request, pace: Pace) {
+        let (call_id, ring_limit) = (request.call_id.clone(), request.ring_limit);
+        let Ok(stream) = TcpStream::connect(self.router_address).await else {
+            return self.checker.borrow_mut().on_connect_failed(&call_id);
         };
-        let (number, running) = self.clone().open(stream);
-        self.send(number, Out::Request(request, pace));
-        let me = self.clone();
+        let (number, running) = self.clone().register_connection(stream);
+        self.send(number, Outgoing::Request(request, pace));
+        let clients = self.clone();
         tokio::task::spawn_local(async move {
             sleep(ring_limit + Duration::from_millis(2800)).await;
-            me.send(number, Out::Close);
+            clients.send(number, Outgoing::Close);
         });
         running.await;
     }
 
-    // ---- clients that break the protocol ----------------------------------------------------------
+    // ---- idle connections and clients that violate the protocol -----------------------------------
 
-    /// Opens connections and leaves them.
-    pub async fn crowd(&self, connections: u32) {
+    /// Opens connections, sends the beginning of a request on every third, and closes them all 4 s later.
+    pub async fn open_idle_connections(&self, connections: u32) {
         let mut open = Vec::new();
         for n in 0..connections {
             if let Ok(Ok(mut stream)) =
-                timeout(Duration::from_millis(50), TcpStream::connect(self.router)).await
+                timeout(Duration::from_millis(50), TcpStream::connect(self.router_address)).await
             {
                 if n % 3 == 0 {
                     let _ = stream.write_all(b"INVITE sip:1@net SIP/2.0\r\nCall").await;
@@ -349,31 +364,36 @@
         sleep(Duration::from_secs(4)).await;
     }
 
-    async fn misbehave(self: Rc<Self>) {
+    async fn run_bad_clients(self: Rc<Self>) {
         while self.is_active.get() {
             let (pause, kind) = {
                 let mut rng = self.rng.borrow_mut();
                 (rng.u64(50..500), rng.u8(..12))
             };
             sleep(Duration::from_millis(pause)).await;
-            let me = self.clone();
-            tokio::task::spawn_local(async move { me.break_protocol(kind).await });
+            let clients = self.clone();
+            tokio::task::spawn_local(async move { clients.run_bad_client(kind).await });
         }
     }
 
-    async fn break_protocol(&self, kind: u8) {
-        let Ok(mut stream) = TcpStream::connect(self.router).await else { return };
-        let begun = Instant::now();
-        let text = bad_message(kind, &format!("{:016x}", self.rng.borrow_mut().u64(..)));
+    async fn run_bad_client(&self, kind: u8) {
+        let Ok(mut stream) = TcpStream::connect(self.router_address).await else { return };
+        let connected_at = Instant::now();
+        let text = bad_client_message(kind, &format!("{:016x}", self.rng.borrow_mut().u64(..)));
         let _ = stream.write_all(text.as_bytes()).await;
         let mut input = vec![0; 16 * 1024];
-        match timeout(OWED.saturating_sub(begun.elapsed()), stream.read(&mut input)).await {
+        match timeout(
+            BAD_CLIENT_RESPONSE_TIMEOUT.saturating_sub(connected_at.elapsed()),
+            stream.read(&mut input),
+        )
+        .await
+        {
             Err(_) => {
-                let text = format!("client of kind {kind}: no word and no close within 3 s");
+                let text = format!("bad client of kind {kind}: neither an answer nor a close within 3 s");
                 self.checker.borrow_mut().report_violation(Rule::BadClient, text);
             }
             Ok(Ok(n)) if String::from_utf8_lossy(&input[..n]).starts_with("SIP/2.0 200") => {
-                let text = format!("client of kind {kind}: answered 200");
+                let text = format!("bad client of kind {kind}: answered 200");
                 self.checker.borrow_mut().report_violation(Rule::BadClient, text);
             }
             Ok(_) => {}
@@ -381,9 +401,9 @@
     }
 }
 
-fn bad_message(kind: u8, call: &str) -> String {
+fn bad_client_message(kind: u8, call_id: &str) -> String {
     let invite = |headers: &str, body: &str| {
-        format!("INVITE sip:1@net SIP/2.0\r\nCall-ID: {call}\r\nCSeq: 1 INVITE\r\n{headers}\r\n{body}")
+        format!("INVITE sip:1@net SIP/2.0\r\nCall-ID: {call_id}\r\nCSeq: 1 INVITE\r\n{headers}\r\n{body}")
     };
     match kind {
         0 => "%&\u{1}\u{2} no SIP\r\n\r\n".to_owned(),
@@ -408,9 +428,9 @@
     }
 }
 
-async fn write_paced(writer: &mut OwnedWriteHalf, bytes: &[u8], pace: Pace) -> std::io::Result<()> {
-    let Pace::Pieces(count, over) = pace else { return writer.write_all(bytes).await };
-    let pause = over / count as u32;
+async fn write_at_pace(writer: &mut OwnedWriteHalf, bytes: &[u8], pace: Pace) -> std::io::Result<()> {
+    let Pace::Split(count, duration) = pace else { return writer.write_all(bytes).await };
+    let pause = duration / count as u32;
     for part in bytes.chunks(bytes.len().div_ceil(count)) {
         sleep(pause).await;
         writer.write_all(part).await?;
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -151,7 +151,7 @@
             }
         }
         sleep_until(started_at + self.scenario.active_time).await;
-        self.clients.rest();
+        self.clients.stop_requests();
     }
 
     async fn apply_fault(self: Rc<Self>, step: Step) {
@@ -159,7 +159,7 @@
             Step::DiscoverySilent(length) => return self.coordinator.stop_sending(length).await,
             Step::DiscoveryDown(length) => return self.coordinator.go_down(length).await,
             Step::DiscoveryBreak => return self.coordinator.break_next_frame(),
-            Step::Crowd(connections) => return self.clients.crowd(connections).await,
+            Step::Crowd(connections) => return self.clients.open_idle_connections(connections).await,
             _ => {}
         }
         let (Step::Hang(node, _)
