--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -224,7 +224,7 @@
         let (mut bytes, mut input) = (Vec::new(), vec![0; 16 * 1024]);
         while let Ok(n @ 1..) = reader.read(&mut input).await {
             bytes.extend_from_slice(&input[..n]);
-            while let Some(message) = sip::take(&mut bytes) {
+            while let Some(message) = sip::take_message(&mut bytes) {
                 self.handle_message(&message, number);
             }
         }
@@ -232,9 +232,9 @@
 
     fn handle_message(&self, message: &Message, number: u64) {
         let call_id = message.header("Call-ID").unwrap_or_default().to_owned();
-        if message.first.starts_with("BYE ") {
+        if message.first_line.starts_with("BYE ") {
             self.checker.borrow_mut().on_released(&call_id);
-            self.send(number, Outgoing::Message(sip::bye_confirmed(&call_id)));
+            self.send(number, Outgoing::Message(sip::bye_response(&call_id)));
             return;
         }
         let final_status = message.status().filter(|s| *s >= 200);
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! A soak rig for the router: the real process on loopback between emulated clients, exchanges and a
-//! coordinator, with seeded faults and a checker of the rules.
+//! A soak test rig for the router. It runs the real process on loopback addresses between emulated clients,
+//! exchanges and a coordinator, injects faults that are drawn from a seed, and checks the rules of the
+//! protocol.
 //!
-//! One run plays one seed: [`scenario`] draws the settings and a timeline of faults, [`run`] plays it, and
-//! the [`checker`] records what passes on the sockets and which rule was broken.
+//! Each run has one seed: [`scenario`] draws the settings and a timeline of faults, [`run`] carries it out,
+//! and [`checker`] records the traffic on the sockets and the rules that were broken.
 
 #![warn(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
--- a/emulator/src/router.rs
+++ b/emulator/src/router.rs
@@ -1,4 +1,4 @@
-//! The router as a process: its configuration, start, signals and end.
+//! The router process and its configuration file.
 
 use std::fs::File;
 use std::io;
@@ -11,17 +11,17 @@
 
 use crate::scenario::Scenario;
 
-/// One process.
+/// A running router process. It is killed when this value is dropped.
 #[derive(Debug)]
-pub struct Router {
+pub struct RouterProcess {
     child: Child,
 }
 
-impl Router {
-    /// Starts a program with a configuration file; its log is appended to a file.
+impl RouterProcess {
+    /// Starts the router program with a configuration file and appends its log to the file `log`.
     ///
     /// # Errors
-    /// When the files can't be opened or the program can't be started.
+    /// Returns an error if the log can't be opened or the program can't be started.
     pub fn start(program: &Path, config: &Path, log: &Path) -> io::Result<Self> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(program);
@@ -29,40 +29,40 @@
         Ok(Self { child: command.spawn()? })
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
-            // A process that has ended already needs none.
+            // An error means that the process has ended already.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// How it ended, once it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status if the process has ended.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Descriptors that it holds.
-    pub fn descriptors(&self) -> Option<usize> {
+    /// Returns the number of file descriptors that the process holds.
+    pub fn open_descriptors(&self) -> Option<usize> {
         Some(std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).ok()?.count())
     }
 
-    /// Resident memory in MB.
-    pub fn memory_mb(&self) -> Option<u64> {
+    /// Returns the resident memory of the process in MB.
+    pub fn resident_memory_mb(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
         Some(line.trim().split(' ').next()?.parse::<u64>().ok()? / 1024)
     }
 }
 
-impl Drop for Router {
+impl Drop for RouterProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The configuration file of one run; it is replaced as a whole.
+/// Configuration file of a run. Each write replaces the whole file.
 #[derive(Debug)]
 pub struct ConfigFile {
     path: PathBuf,
@@ -70,12 +70,12 @@
 }
 
 impl ConfigFile {
-    /// A configuration for a scenario.
+    /// Returns the configuration for a scenario; nothing is written yet.
     pub fn new(path: PathBuf, scenario: &Scenario, listen: SocketAddr) -> Self {
         let class = |c: &crate::scenario::ClassSettings| {
-            json!({"Name": c.name, "AimNs": nanos(c.target_delay), "DeadlineNs": nanos(c.deadline), "Worth": 1.0,
-                "LateShare": 0.2, "Effect": if c.is_safe { "safe" } else { "unsafe" }, "DedupScope": "all",
-                "Stream": true, "WindowNs": 5_000_000_000_u64})
+            json!({"Name": c.name, "AimNs": nanos(c.target_delay), "DeadlineNs": nanos(c.deadline),
+                "Worth": 1.0, "LateShare": 0.2, "Effect": if c.is_safe { "safe" } else { "unsafe" },
+                "DedupScope": "all", "Stream": true, "WindowNs": 5_000_000_000_u64})
         };
         let rules = &scenario.rules;
         let classes: Vec<Value> = rules.classes.iter().map(class).collect();
@@ -85,7 +85,8 @@
             "settings": {
                 "Classes": classes, "FleetSize": scenario.exchange_count, "Me": rules.own_node,
                 "Dcs": ["east"], "Clients": {"MarksRetry": true}, "TickNs": 5_000_000, "Zone": 0,
-                "Domain": {"OwnNumber": rules.own_node, "Topology": "meshed", "GuardNs": nanos(rules.guard_time),
+                "Domain": {"OwnNumber": rules.own_node, "Topology": "meshed",
+                    "GuardNs": nanos(rules.guard_time),
                     "ChannelsNeeded": rules.classes.iter().map(|_| 1).collect::<Vec<u32>>()},
                 "Stats": {"How": "answers", "Names": ["spare", "total", "lat_ms"]},
                 "Contract": {"DrainGraceNs": nanos(rules.drain_grace), "ColdFrom": 0.28,
@@ -95,24 +96,24 @@
         Self { path, value }
     }
 
-    /// Where it lies.
+    /// Returns the path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Sets a key at the top.
+    /// Sets a top-level key.
     pub fn set(&mut self, key: &str, value: Value) {
         self.value[key] = value;
     }
 
-    /// Writes it in one step.
+    /// Writes the file by renaming a complete new one, so that the router never reads half a file.
     ///
     /// # Errors
-    /// When the file can't be written.
+    /// Returns an error if the file can't be written.
     pub fn write(&self) -> io::Result<()> {
-        let fresh = self.path.with_extension("new");
-        std::fs::write(&fresh, self.value.to_string())?;
-        std::fs::rename(&fresh, &self.path)
+        let temporary = self.path.with_extension("new");
+        std::fs::write(&temporary, self.value.to_string())?;
+        std::fs::rename(&temporary, &self.path)
     }
 }
 
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -19,7 +19,7 @@
 use crate::client::Clients;
 use crate::coordinator::{Coordinator, ExchangeState};
 use crate::exchange::Exchange;
-use crate::router::{ConfigFile, Router};
+use crate::router::{ConfigFile, RouterProcess};
 use crate::scenario::{Component, Scenario, Step};
 use crate::sip;
 
@@ -231,7 +231,7 @@
             "block": node, "health": state, "share": 1, "born_ms": started_ms})
     }
 
-    fn start_router(&self) -> io::Result<Router> {
+    fn start_router(&self) -> io::Result<RouterProcess> {
         let mut config = self.config.borrow_mut();
         let known = self.initial_membership();
         config.set("known", known);
@@ -239,7 +239,7 @@
         let out_of_service: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
         self.checker.borrow_mut().on_process_started(out_of_service.into_iter());
         self.record_event("router started");
-        Router::start(&self.program, config.path(), &self.log_path)
+        RouterProcess::start(&self.program, config.path(), &self.log_path)
     }
 
     async fn supervise(
@@ -289,7 +289,7 @@
         }
     }
 
-    async fn terminate(&self, router: &mut Router, twice: bool) {
+    async fn terminate(&self, router: &mut RouterProcess, twice: bool) {
         let longest_deadline =
             self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let terminated_at = Instant::now();
@@ -306,14 +306,14 @@
             router.signal(Signal::KILL);
             self.wait_for_exit(router, None).await;
         }
-        let was_killed = router.ended().is_some_and(|status| status.code().is_none());
+        let was_killed = router.exit_status().is_some_and(|status| status.code().is_none());
         self.record_event(if was_killed { "router was killed" } else { "router ended" });
     }
 
     /// Waits until the process has ended. Returns `false` if it still runs at the deadline.
-    async fn wait_for_exit(&self, router: &mut Router, deadline: Option<Instant>) -> bool {
+    async fn wait_for_exit(&self, router: &mut RouterProcess, deadline: Option<Instant>) -> bool {
         while deadline.is_none_or(|at| Instant::now() < at) {
-            if let Some(status) = router.ended() {
+            if let Some(status) = router.exit_status() {
                 if status.code().is_some_and(|code| code != 0) {
                     self.checker
                         .borrow_mut()
@@ -329,7 +329,7 @@
         false
     }
 
-    async fn reload(&self, router: &Router, count: u32, gap: Duration) -> io::Result<()> {
+    async fn reload(&self, router: &RouterProcess, count: u32, gap: Duration) -> io::Result<()> {
         for _ in 0..count {
             let address = self.coordinator.open_address().await?;
             self.config.borrow_mut().set("coordinator", json!(address.to_string()));
@@ -342,16 +342,17 @@
     }
 
     /// Checks that the process still runs, and that it keeps its limits of memory and descriptors.
-    fn check_process(&self, router: &mut Router) {
+    fn check_process(&self, router: &mut RouterProcess) {
         let mut checker = self.checker.borrow_mut();
-        if let Some(status) = router.ended() {
+        if let Some(status) = router.exit_status() {
             let is_reported = checker.violations().iter().any(|v| v.rule == Rule::Crash);
             if !is_reported {
                 checker.report_violation(Rule::Crash, format!("the router exited on its own with {status}"));
             }
             return;
         }
-        let (memory, descriptors) = (router.memory_mb().unwrap_or(0), router.descriptors().unwrap_or(0));
+        let (memory, descriptors) =
+            (router.resident_memory_mb().unwrap_or(0), router.open_descriptors().unwrap_or(0));
         let mut peak = self.peak.borrow_mut();
         *peak = (peak.0.max(memory), peak.1.max(descriptors));
         if memory > MAX_MEMORY_MB || descriptors > self.scenario.max_descriptors as usize {
@@ -383,7 +384,7 @@
         loop {
             let n = stream.read(&mut input).await?;
             bytes.extend_from_slice(&input[..n]);
-            match sip::take(&mut bytes) {
+            match sip::take_message(&mut bytes) {
                 Some(message) => return Ok(message.status() == Some(200)),
                 None if n == 0 => return Ok(false),
                 None => {}
