--- a/emulator/src/bin/soak.rs
+++ b/emulator/src/bin/soak.rs
@@ -1,4 +1,4 @@
-//! Plays seeds against a router and reports the rules that were broken.
+//! Runs scenarios of several seeds against a router program and prints the rules that were broken.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,10 +10,10 @@
 use quartzspindle_emulator::scenario::Scenario;
 use quartzspindle_emulator::{run_scenario, Report};
 
-/// Soaks a router in seeded faults on loopback and checks every rule.
+/// Soak test of a router program: faults drawn from seeds, on loopback, with every rule checked.
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// The router's program.
+    /// Path of the router program.
     #[arg(long, default_value = "target/release/quartzspindle")]
     router: PathBuf,
     /// First seed.
@@ -22,16 +22,16 @@
     /// Number of seeds.
     #[arg(long, default_value_t = 50)]
     seeds: u64,
-    /// Runs at a time.
+    /// Number of runs at the same time.
     #[arg(long, default_value_t = 4)]
     parallel: usize,
-    /// Seconds of traffic and faults in each run.
+    /// Duration of traffic and faults in each run, in seconds.
     #[arg(long, default_value_t = 12)]
     active_s: u64,
-    /// Folder for configurations and logs.
+    /// Directory for the configuration and the log of each run.
     #[arg(long, default_value = "target/soak")]
     dir: PathBuf,
-    /// Print each run's timeline, also when no rule was broken.
+    /// Print the timeline of every run, even if no rule was broken.
     #[arg(long)]
     timeline: bool,
 }
@@ -42,27 +42,27 @@
         eprintln!("soak: {}: {e}", arguments.dir.display());
         return ExitCode::FAILURE;
     }
-    let next = AtomicU64::new(arguments.from);
-    let failed = Mutex::new(Vec::new());
+    let next_seed = AtomicU64::new(arguments.from);
+    let failed_seeds = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..arguments.parallel {
-            scope.spawn(|| run_seeds(&arguments, &next, &failed));
+            scope.spawn(|| run_seeds(&arguments, &next_seed, &failed_seeds));
         }
     });
-    let failed = failed.into_inner().unwrap_or_default();
-    println!("{} seeds, {} with a broken rule: {failed:?}", arguments.seeds, failed.len());
-    ExitCode::from(u8::from(!failed.is_empty()))
+    let failed_seeds = failed_seeds.into_inner().unwrap_or_default();
+    println!("{} seeds, {} with a broken rule: {failed_seeds:?}", arguments.seeds, failed_seeds.len());
+    ExitCode::from(u8::from(!failed_seeds.is_empty()))
 }
 
-fn run_seeds(arguments: &Arguments, next: &AtomicU64, failed: &Mutex<Vec<u64>>) {
+fn run_seeds(arguments: &Arguments, next_seed: &AtomicU64, failed_seeds: &Mutex<Vec<u64>>) {
     loop {
-        let seed = next.fetch_add(1, Ordering::Relaxed);
+        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
         if seed >= arguments.from + arguments.seeds {
             return;
         }
-        let broken = match run_seed(arguments, seed) {
+        let has_failed = match run_seed(arguments, seed) {
             Ok(report) => {
-                print(&report, arguments.timeline);
+                print_report(&report, arguments.timeline);
                 !report.violations.is_empty()
             }
             Err(e) => {
@@ -70,8 +70,8 @@
                 true
             }
         };
-        if let (true, Ok(mut failed)) = (broken, failed.lock()) {
-            failed.push(seed);
+        if let (true, Ok(mut failed_seeds)) = (has_failed, failed_seeds.lock()) {
+            failed_seeds.push(seed);
         }
     }
 }
@@ -83,11 +83,11 @@
     tasks.block_on(&runtime, run_scenario(scenario, &arguments.router, &arguments.dir))
 }
 
-fn print(report: &Report, timeline: bool) {
-    let (counts, broken) = (&report.counts, report.violations.len());
+fn print_report(report: &Report, prints_timeline: bool) {
+    let (counts, violation_count) = (&report.counts, report.violations.len());
     let mut text = format!(
-        "seed {}: {broken} broken, {} requests, answers {:?}, {} attempts, {} releases, {} resent, {} late, {} excused, \
-         peak {} MB {} descriptors\n",
+        "seed {}: {violation_count} broken, {} requests, answers {:?}, {} attempts, {} releases, \
+         {} resent, {} late, {} excused, peak {} MB {} descriptors\n",
         report.seed,
         counts.requests,
         counts.answers,
@@ -99,7 +99,7 @@
         report.peak.0,
         report.peak.1
     );
-    if broken > 0 || timeline {
+    if violation_count > 0 || prints_timeline {
         report.timeline.iter().for_each(|line| text += &format!("  {line}\n"));
     }
     report.violations.iter().take(20).for_each(|v| text += &format!("  BROKEN {v}\n"));
