--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -17,9 +17,9 @@
 
 use crate::checker::{Counts, Rule, RuleChecker, Violation};
 use crate::client::Clients;
-use crate::coordinator::{Coordinator, State};
+use crate::coordinator::{Coordinator, ExchangeState};
 use crate::exchange::Exchange;
-use crate::router::{ConfigFile, Router};
+use crate::router::{ConfigFile, RouterProcess};
 use crate::scenario::{Component, Scenario, Step};
 use crate::sip;
 
@@ -80,7 +80,7 @@
     let seed = scenario.seed;
     let checker = Rc::new(RefCell::new(RuleChecker::new(scenario.rules.clone())));
     let coordinator = Coordinator::new(checker.clone(), &scenario);
-    let address = coordinator.open().await?;
+    let address = coordinator.open_address().await?;
     let exchanges: Vec<Rc<Exchange>> = (0..scenario.exchange_count)
         .map(|node| Exchange::start(checker.clone(), scenario.clone(), node))
         .collect::<io::Result<_>>()?;
@@ -151,15 +151,15 @@
             }
         }
         sleep_until(started_at + self.scenario.active_time).await;
-        self.clients.rest();
+        self.clients.stop_requests();
     }
 
     async fn apply_fault(self: Rc<Self>, step: Step) {
         match step {
-            Step::DiscoverySilent(length) => return self.coordinator.fall_silent(length).await,
+            Step::DiscoverySilent(length) => return self.coordinator.stop_sending(length).await,
             Step::DiscoveryDown(length) => return self.coordinator.go_down(length).await,
-            Step::DiscoveryBreak => return self.coordinator.break_off(),
-            Step::Crowd(connections) => return self.clients.crowd(connections).await,
+            Step::DiscoveryBreak => return self.coordinator.break_next_frame(),
+            Step::Crowd(connections) => return self.clients.open_idle_connections(connections).await,
             _ => {}
         }
         let (Step::Hang(node, _)
@@ -185,23 +185,23 @@
             Step::EarlyCloses(_, length) => exchange.close_early(length).await,
             Step::Vanish(_, length) => {
                 let started_ms = exchange.fail_silently(length).await;
-                self.publish(&exchange, State::Ready, started_ms);
+                self.publish(&exchange, ExchangeState::Ready, started_ms);
             }
             Step::Replace { drain_for, gone_for, new_id, .. } => {
-                self.publish(&exchange, State::Draining, 0);
+                self.publish(&exchange, ExchangeState::Draining, 0);
                 sleep(drain_for).await;
                 exchange.stop_process(false);
-                self.publish(&exchange, State::Gone, 0);
+                self.publish(&exchange, ExchangeState::Gone, 0);
                 sleep(gone_for).await;
                 let started_ms = exchange.start_process(new_id);
-                self.publish(&exchange, State::Ready, started_ms);
+                self.publish(&exchange, ExchangeState::Ready, started_ms);
             }
             _ => {}
         }
         exchange.has_active_fault.set(false);
     }
 
-    fn publish(&self, exchange: &Exchange, state: State, started_ms: u64) {
+    fn publish(&self, exchange: &Exchange, state: ExchangeState, started_ms: u64) {
         self.coordinator.publish(exchange.id(), exchange.node, exchange.address, state, started_ms);
     }
 
@@ -214,14 +214,14 @@
         for exchange in &self.exchanges {
             let last = events.iter().rev().find(|e| e.id == exchange.id());
             let state = match last.map(|e| e.state) {
-                None | Some(State::Ready) => "active",
-                Some(State::Draining) => "leaving",
-                Some(State::Gone) => continue,
+                None | Some(ExchangeState::Ready) => "active",
+                Some(ExchangeState::Draining) => "leaving",
+                Some(ExchangeState::Gone) => continue,
             };
             let started_ms = last.map_or(0, |e| e.started_ms);
             hosts.push(self.host_entry(exchange.id(), exchange.node, state, exchange.address, started_ms));
         }
-        let index = self.coordinator.last();
+        let index = self.coordinator.last_event_number();
         json!({"index": index,
             "updates": [{"index": index, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]})
     }
@@ -231,7 +231,7 @@
             "block": node, "health": state, "share": 1, "born_ms": started_ms})
     }
 
-    fn start_router(&self) -> io::Result<Router> {
+    fn start_router(&self) -> io::Result<RouterProcess> {
         let mut config = self.config.borrow_mut();
         let known = self.initial_membership();
         config.set("known", known);
@@ -239,7 +239,7 @@
         let out_of_service: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
         self.checker.borrow_mut().on_process_started(out_of_service.into_iter());
         self.record_event("router started");
-        Router::start(&self.program, config.path(), &self.log_path)
+        RouterProcess::start(&self.program, config.path(), &self.log_path)
     }
 
     async fn supervise(
@@ -289,7 +289,7 @@
         }
     }
 
-    async fn terminate(&self, router: &mut Router, twice: bool) {
+    async fn terminate(&self, router: &mut RouterProcess, twice: bool) {
         let longest_deadline =
             self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let terminated_at = Instant::now();
@@ -306,14 +306,14 @@
             router.signal(Signal::KILL);
             self.wait_for_exit(router, None).await;
         }
-        let was_killed = router.ended().is_some_and(|status| status.code().is_none());
+        let was_killed = router.exit_status().is_some_and(|status| status.code().is_none());
         self.record_event(if was_killed { "router was killed" } else { "router ended" });
     }
 
     /// Waits until the process has ended. Returns `false` if it still runs at the deadline.
-    async fn wait_for_exit(&self, router: &mut Router, deadline: Option<Instant>) -> bool {
+    async fn wait_for_exit(&self, router: &mut RouterProcess, deadline: Option<Instant>) -> bool {
         while deadline.is_none_or(|at| Instant::now() < at) {
-            if let Some(status) = router.ended() {
+            if let Some(status) = router.exit_status() {
                 if status.code().is_some_and(|code| code != 0) {
                     self.checker
                         .borrow_mut()
@@ -329,9 +329,9 @@
         false
     }
 
-    async fn reload(&self, router: &Router, count: u32, gap: Duration) -> io::Result<()> {
+    async fn reload(&self, router: &RouterProcess, count: u32, gap: Duration) -> io::Result<()> {
         for _ in 0..count {
-            let address = self.coordinator.open().await?;
+            let address = self.coordinator.open_address().await?;
             self.config.borrow_mut().set("coordinator", json!(address.to_string()));
             self.config.borrow().write()?;
             self.record_event(format!("SIGHUP, coordinator at {address}"));
@@ -342,16 +342,17 @@
     }
 
     /// Checks that the process still runs, and that it keeps its limits of memory and descriptors.
-    fn check_process(&self, router: &mut Router) {
+    fn check_process(&self, router: &mut RouterProcess) {
         let mut checker = self.checker.borrow_mut();
-        if let Some(status) = router.ended() {
+        if let Some(status) = router.exit_status() {
             let is_reported = checker.violations().iter().any(|v| v.rule == Rule::Crash);
             if !is_reported {
                 checker.report_violation(Rule::Crash, format!("the router exited on its own with {status}"));
             }
             return;
         }
-        let (memory, descriptors) = (router.memory_mb().unwrap_or(0), router.descriptors().unwrap_or(0));
+        let (memory, descriptors) =
+            (router.resident_memory_mb().unwrap_or(0), router.open_descriptors().unwrap_or(0));
         let mut peak = self.peak.borrow_mut();
         *peak = (peak.0.max(memory), peak.1.max(descriptors));
         if memory > MAX_MEMORY_MB || descriptors > self.scenario.max_descriptors as usize {
@@ -383,7 +384,7 @@
         loop {
             let n = stream.read(&mut input).await?;
             bytes.extend_from_slice(&input[..n]);
-            match sip::take(&mut bytes) {
+            match sip::take_message(&mut bytes) {
                 Some(message) => return Ok(message.status() == Some(200)),
                 None if n == 0 => return Ok(false),
                 None => {}
