--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -150,7 +150,7 @@
     /// Returns an error if the decision module rejects the settings.
     pub fn new(config: &Config, log: Logger, clock: Clock) -> Result<Handle, SettingsError> {
         let (now, limits) = (clock.now(), &config.settings.limits);
-        let exchanges = Exchanges::with_places_of(&config.settings);
+        let exchanges = Exchanges::with_nodes_of(&config.settings);
         let controller = Controller::new(config.settings.clone(), config.seed, now)?;
         let platform = Rc::new_cyclic(|weak_self| {
             RefCell::new(Self {
