--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -58,13 +58,13 @@
         if self.is_stopped || self.clients.is_closing(client) {
             return self.refuse_new_request(client, &id, &echoed);
         }
-        let Some(offer) = self.parse_offer(&id, number, message) else {
+        let Some(parsed) = self.parse_offered_call(&id, number, message) else {
             return self.reject(client, 400, &echoed, "set-up not understood");
         };
         let Ok(description) = std::str::from_utf8(&message.body) else {
             return self.reject(client, 400, &echoed, "description is not UTF-8");
         };
-        let (destination, offer) = offer;
+        let (destination, offered) = parsed;
         // An id is never reused. A set-up with the id of an open one is therefore either a repeat, which is
         // ignored, or belongs to someone else, and is rejected without affecting the first. Either way the
         // open set-up gets no second answer.
@@ -94,19 +94,20 @@
         }
         self.metrics.count_request();
         debug!(self.log, "request taken"; "call_id" => &*id.0, "connection_id" => client,
-            "class" => offer.class, "left_ms" => offer.remaining.as_millis(), "transit" => offer.is_transit);
+            "class" => offered.class, "left_ms" => offered.remaining.as_millis(),
+            "transit" => offered.is_transit);
         self.invites.insert(id.clone(), Invite { client, echoed_headers: echoed });
         self.clients.begin_request(client, id);
-        let request = Request { origin: Origin(client), offered: offer, description: description.into() };
+        let request = Request { origin: Origin(client), offered, description: description.into() };
         match destination {
             Some(_) => self.core.handle_request(now, request),
             None => self.resolve_destination(now, request),
         }
     }
 
-    /// Returns the destination and the offer of a set-up, or `None` if a value is missing, not a number or
-    /// out of range. The destination may be missing if numbers are looked up.
-    pub(super) fn parse_offer(
+    /// Returns the destination and the call that a set-up offers, or `None` if a value is missing, not a number
+    /// or out of range. The destination may be missing if numbers are looked up.
+    pub(super) fn parse_offered_call(
         &self,
         id: &CallId,
         number: Arc<str>,
@@ -130,7 +131,7 @@
         let again = message.header("X-Again").unwrap_or("0");
         let is_valid = !ring_limit.is_zero() && ring_limit <= MAX_RING_LIMIT && matches!(again, "0" | "1");
         (is_valid && (destination.is_some() || self.look_up.is_some())).then_some(())?;
-        let offer = OfferedCall {
+        let offered = OfferedCall {
             call: id.clone(),
             class,
             tenant: 0,
@@ -143,7 +144,7 @@
             is_transit: flag("transit")?,
             is_reconnect: flag("again")?,
         };
-        Some((destination, offer))
+        Some((destination, offered))
     }
 
     /// Refuses a request that arrives while its connection is closing or the router has stopped.
