--- a/emulator/src/router.rs
+++ b/emulator/src/router.rs
@@ -73,7 +73,7 @@
     /// Returns the configuration for a scenario; nothing is written yet.
     pub fn new(path: PathBuf, scenario: &Scenario, listen: SocketAddr) -> Self {
         let class = |c: &crate::scenario::ClassSettings| {
-            json!({"Name": c.name, "AimNs": nanos(c.target_delay), "DeadlineNs": nanos(c.deadline),
+            json!({"Name": c.name, "AimNs": nanos(c.latency_objective), "DeadlineNs": nanos(c.deadline),
                 "Worth": 1.0, "LateShare": 0.2, "Effect": if c.is_safe { "safe" } else { "unsafe" },
                 "DedupScope": "all", "Stream": true, "WindowNs": 5_000_000_000_u64})
         };
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -15,7 +15,7 @@
     /// Longest time that a client waits for the final answer.
     pub deadline: Duration,
     /// A call that is established within this time earns its full value.
-    pub target_delay: Duration,
+    pub latency_objective: Duration,
 }
 
 /// Settings that the rules depend on.
@@ -158,7 +158,7 @@
             name,
             is_safe,
             deadline,
-            target_delay: deadline / 2,
+            latency_objective: deadline / 2,
         };
         let mut classes = vec![class("voice", true, deadline), class("family", true, deadline.mul_f64(0.8))];
         if rng.u8(..3) == 0 {
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -200,7 +200,7 @@
         Some(other) => return Err(format!("unknown Effect {other:?}")),
     };
     Ok(Class {
-        target_delay: Duration::from_nanos(class.aim_ns),
+        latency_objective: Duration::from_nanos(class.aim_ns),
         deadline: Duration::from_nanos(class.deadline_ns),
         value: class.worth.unwrap_or(0.0),
         late_value_share: class.late_share.unwrap_or(0.0),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -53,12 +53,13 @@
 #[derive(Debug, Clone)]
 pub struct Class {
     /// Time within which a call is to be established to earn its full value.
-    pub target_delay: Duration,
+    pub latency_objective: Duration,
     /// Time after which the caller gives up, counted over all its tries.
     pub deadline: Duration,
-    /// Value of a call that is established within the target delay.
+    /// Value of a call that is established within the latency objective.
     pub value: f64,
-    /// Share of the value earned by a call that is established between the target delay and the deadline.
+    /// Share of the value earned by a call that is established between the latency objective and the
+    /// deadline.
     pub late_value_share: f64,
     /// Whether set-ups of the class can be repeated.
     pub idempotency: Idempotency,
@@ -146,7 +147,7 @@
 /// Deductions from the score of a run, as shares of 1.
 #[derive(Debug, Clone, Default)]
 pub struct Penalties {
-    /// Deduction for value that failed after its target delay.
+    /// Deduction for value that failed after its latency objective.
     pub late_failure: f64,
     /// Deduction for processor work that led to no set-up.
     pub wasted_work: f64,
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -379,21 +379,22 @@
     }))
 }
 
-/// Target delay as a multiple of the query time-out. The decision module takes an answer within a fifth of
-/// the target delay for a sign of spare capacity; with this multiple, every reply before the time-out is one.
-const TARGET_DELAY_TIMEOUTS: u32 = 5;
+/// Latency objective as a multiple of the query time-out. The decision module takes an answer within a fifth
+/// of the latency objective for a sign of spare capacity; with this multiple, every reply before the time-out
+/// is one.
+const LATENCY_OBJECTIVE_TIMEOUTS: u32 = 5;
 
 /// Returns the settings of a decision module whose exchanges are DNS servers, that is, pools open to every
 /// look-up. Look-ups for calls have a higher value than resolvers' queries, so they take precedence.
 ///
-/// The target delay derives from the query time-out, because every reply that arrives before the time-out is
-/// equally good. With the caller's remaining time as target delay, a slow but healthy server was taken for
-/// overloaded, and few look-ups were sent to it.
+/// The latency objective derives from the query time-out, because every reply that arrives before the
+/// time-out is equally good. With the caller's remaining time as latency objective, a slow but healthy server
+/// was taken for overloaded, and few look-ups were sent to it.
 fn upstream_settings(query_timeout: Duration, guard: Duration, max_attempts: u32) -> Settings {
-    let target_delay = TARGET_DELAY_TIMEOUTS * query_timeout;
+    let latency_objective = LATENCY_OBJECTIVE_TIMEOUTS * query_timeout;
     let class = |worth| Class {
-        target_delay,
-        deadline: target_delay,
+        latency_objective,
+        deadline: latency_objective,
         value: worth,
         late_value_share: 0.5,
         idempotency: Idempotency::Safe,
@@ -495,7 +496,7 @@
     let pools = domain.get("SkilledPools").items()?;
     let classes = classes.iter().enumerate().map(|(i, class)| {
         Ok(Class {
-            target_delay: class.get("AimNs").duration_ns()?,
+            latency_objective: class.get("AimNs").duration_ns()?,
             deadline: class.get("DeadlineNs").duration_ns()?,
             value: class.get("Worth").number(0.0)?,
             late_value_share: class.get("LateShare").number(0.0)?,
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -13,8 +13,8 @@
 /// Number of connections kept open to a listed exchange.
 ///
 /// If a single connection stopped delivering, all set-ups on it would be lost with it. A second connection
-/// that still receives messages shows the fault early enough to repeat those set-ups within their target
-/// delay; new set-ups use the connection that received a message last.
+/// that still receives messages shows the fault early enough to repeat those set-ups within their latency
+/// objective; new set-ups use the connection that received a message last.
 const MIN_IDLE_CONNECTIONS: usize = 2;
 /// Pause before the next connect after the first failed one; it doubles with each further failure.
 const INITIAL_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -166,7 +166,7 @@
                     .settings
                     .classes
                     .iter()
-                    .map(|c| c.target_delay / 2)
+                    .map(|c| c.latency_objective / 2)
                     .min()
                     .unwrap_or_default(),
                 last_event: config.last_known_event,
--- a/src/policy/control.rs
+++ b/src/policy/control.rs
@@ -30,16 +30,16 @@
     pub accepted_calls: f64,
     /// X: smoothed rate of offered calls per second.
     pub offered_rate: f64,
-    /// λs: rate of calls per second that are established within their target delay; `None` until the mean
-    /// delay of a learning period has exceeded the target delay.
+    /// λs: rate of calls per second that are established within their latency objective; `None` until the
+    /// mean delay of a learning period has exceeded the latency objective.
     pub safe_rate: Option<f64>,
     /// CAL: largest number of calls accepted in this cycle; `None` (no limit) while λs is unknown.
     pub cycle_limit: Option<f64>,
-    /// Set-ups established within the target delay in this learning period.
+    /// Set-ups established within the latency objective in this learning period.
     in_time: f64,
     /// Set-ups with a known delay in this learning period.
     completed: f64,
-    /// Sum of their delays, relative to the target delay.
+    /// Sum of their delays, relative to the latency objective.
     total_delay: f64,
 }
 
@@ -67,15 +67,16 @@
         }
     }
 
-    /// Records how long a set-up took, or how long its answer was waited for, relative to the target delay.
+    /// Records how long a set-up took, or how long its answer was waited for, relative to the latency
+    /// objective.
     pub fn record_delay(&mut self, relative_delay: f64) {
         self.completed += 1.0;
         self.total_delay += relative_delay;
         self.in_time += f64::from(u8::from(relative_delay <= 1.0));
     }
 
-    /// Ends a learning period. If the mean delay was above the target delay, λs becomes 0.9 times the rate of
-    /// set-ups established in time; if it was below half of it, λs grows by a tenth.
+    /// Ends a learning period. If the mean delay was above the latency objective, λs becomes 0.9 times the
+    /// rate of set-ups established in time; if it was below half of it, λs grows by a tenth.
     pub fn end_learning_period(&mut self) {
         let mean_delay = if self.completed > 0.0 { self.total_delay / self.completed } else { 0.0 };
         if mean_delay > 1.0 {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -38,11 +38,11 @@
 const RESERVED_CIRCUITS_PER_BLOCKING: f64 = 10.0;
 /// Smoothing factor of the blocking, applied once for each call.
 const BLOCKING_SMOOTHING: f64 = 0.1;
-/// Base interval as a share of the shortest target delay. Waits after silence, after a failure and after a
-/// full processor are multiples of the base interval.
+/// Base interval as a share of the shortest latency objective. Waits after silence, after a failure and after
+/// a full processor are multiples of the base interval.
 ///
-/// It follows the target delay so that a processor that has recovered is not left without calls for several
-/// target delays until its next trial is due.
+/// It follows the latency objective so that a processor that has recovered is not left without calls for
+/// several times that long until its next trial is due.
 const BASE_INTERVAL_SHARE: f64 = 0.25;
 /// Longest base interval in seconds.
 const MAX_BASE_INTERVAL: f64 = 0.5;
@@ -154,10 +154,10 @@
     circuits: f64,
     /// Time at which the caller gives up.
     deadline: f64,
-    /// Target delay of the class in seconds.
-    target_delay: f64,
-    /// Time of the caller's first try. The call has its full value if it is established within the target
-    /// delay from then on.
+    /// Latency objective of the class in seconds.
+    latency_objective: f64,
+    /// Time of the caller's first try. The call has its full value if it is established within the latency
+    /// objective from then on.
     first_dialled_at: f64,
     /// Time until which the call may be held for a window or for admission; it is refused then.
     hold_until: f64,
@@ -188,8 +188,8 @@
 #[derive(Debug)]
 pub struct Controller {
     settings: Settings,
-    /// Shortest target delay of all classes in seconds.
-    min_target_delay: f64,
+    /// Shortest latency objective of all classes in seconds.
+    min_latency_objective: f64,
     /// Base interval in seconds, see [`BASE_INTERVAL_SHARE`].
     base_interval: f64,
     rng: fastrand::Rng,
@@ -233,10 +233,10 @@
     /// Creates a controller that starts at `now` on the host's clock.
     ///
     /// # Errors
-    /// Returns an error if the settings name no class or a fleet of 0, or if a class has a target delay of 0
-    /// or a value that is not finite.
+    /// Returns an error if the settings name no class or a fleet of 0, or if a class has a latency objective
+    /// of 0 or a value that is not finite.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
-        let is_invalid = |c: &Class| c.target_delay.is_zero() || !c.value.is_finite();
+        let is_invalid = |c: &Class| c.latency_objective.is_zero() || !c.value.is_finite();
         if settings.classes.is_empty() || settings.classes.iter().any(is_invalid) || settings.fleet_size == 0
         {
             return Err(SettingsError(
@@ -244,12 +244,12 @@
             ));
         }
         let now = now.as_secs_f64();
-        let min_target_delay =
-            settings.classes.iter().map(|c| c.target_delay.as_secs_f64()).fold(f64::INFINITY, f64::min);
+        let min_latency_objective =
+            settings.classes.iter().map(|c| c.latency_objective.as_secs_f64()).fold(f64::INFINITY, f64::min);
         Ok(Self {
             settings,
-            min_target_delay,
-            base_interval: (BASE_INTERVAL_SHARE * min_target_delay).min(MAX_BASE_INTERVAL),
+            min_latency_objective,
+            base_interval: (BASE_INTERVAL_SHARE * min_latency_objective).min(MAX_BASE_INTERVAL),
             rng: fastrand::Rng::with_seed(seed),
             now,
             cycle_end: now + CYCLE_LENGTH,
@@ -399,7 +399,7 @@
             // capacity.
             let overload_level = match gauge {
                 Gauge::LatencyMs => {
-                    (value / 1000.0 / self.min_target_delay - FAST_ANSWER) / (SLOW_ANSWER - FAST_ANSWER)
+                    (value / 1000.0 / self.min_latency_objective - FAST_ANSWER) / (SLOW_ANSWER - FAST_ANSWER)
                 }
                 Gauge::AllowedRate => {
                     state.best_allowed_rate =
@@ -462,7 +462,7 @@
             class,
             circuits: f64::from(offered.circuits.unwrap_or(class_settings.circuits).max(1)),
             deadline,
-            target_delay: class_settings.target_delay.as_secs_f64(),
+            latency_objective: class_settings.latency_objective.as_secs_f64(),
             first_dialled_at,
             hold_until,
             attempts_made: 0,
@@ -497,11 +497,11 @@
         actions.push(Action::StartTimer { after, token });
     }
 
-    /// Returns whether a call sent now would be established only after its target delay, judging by recent
-    /// set-up times of its destination.
+    /// Returns whether a call sent now would be established only after its latency objective, judging by
+    /// recent set-up times of its destination.
     fn is_late(&self, call: &Call) -> bool {
         self.now + self.nodes.get(&call.offered.destination).map_or(0.0, |s| s.set_up_time)
-            > call.first_dialled_at + call.target_delay
+            > call.first_dialled_at + call.latency_objective
     }
 
     /// Records that a number was busy, which doubles its pause, or took a call, which ends its pause.
@@ -535,9 +535,9 @@
         }
         let ready = self.calls.iter().filter(|(_, c)| c.is_ready_to_send(self.now));
         let mut ready: Vec<_> = ready
-            .map(|(id, c)| (self.value_now(c), c.first_dialled_at + c.target_delay, id.clone()))
+            .map(|(id, c)| (self.value_now(c), c.first_dialled_at + c.latency_objective, id.clone()))
             .collect();
-        // Of calls with equal value the newest goes first, since it has most of its target delay left.
+        // Of calls with equal value the newest goes first, since it has most of its latency objective left.
         ready.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.total_cmp(&a.1)));
         ready.into_iter().for_each(|(_, _, id)| self.dispatch(&id, actions));
     }
@@ -771,7 +771,7 @@
             (attempt.node, attempt.sent_at, attempt.counted_in_window, attempt.is_overdue);
         call.is_established = true;
         let (called_number, relative_delay, destination) =
-            (call.offered.called_number.clone(), elapsed / call.target_delay, call.offered.destination);
+            (call.offered.called_number.clone(), elapsed / call.latency_objective, call.offered.destination);
         if node != destination {
             self.nodes.entry(destination).or_default().tandems.insert(node, (0.0, 0.0));
         }
@@ -821,7 +821,7 @@
         }
         let (was_established, destination) =
             (std::mem::take(&mut call.is_established), call.offered.destination);
-        let (called_number, target_delay) = (call.offered.called_number.clone(), call.target_delay);
+        let (called_number, latency_objective) = (call.offered.called_number.clone(), call.latency_objective);
         if !was_established {
             let elapsed = outcome.elapsed.as_secs_f64();
             let processor_full = matches!(outcome.failure_cause, Some(FailureCause::ProcessorFull(_)));
@@ -857,8 +857,8 @@
                 *tandem = if self.now > tandem.1 { (pause, self.now + pause) } else { *tandem };
             }
             if outcome.status == AttemptStatus::TimedOut {
-                // A time-out counts as later than the target delay, however early it came.
-                self.record_local_delay(attempt.node, (elapsed / target_delay).max(1.0) + 0.01);
+                // A time-out counts as later than the latency objective, however early it came.
+                self.record_local_delay(attempt.node, (elapsed / latency_objective).max(1.0) + 0.01);
             }
         }
         if outcome.failure_cause == Some(FailureCause::UserBusy) {
@@ -886,9 +886,9 @@
         );
         if is_overloaded || outcome.status == AttemptStatus::Error {
             // Another route does not help if the processor is full or the number busy, so the call waits for
-            // a base interval. After other errors it is sent again after a fortieth of its target delay.
+            // a base interval. After other errors it is sent again after a fortieth of its latency objective.
             let is_busy = is_overloaded || outcome.failure_cause == Some(FailureCause::UserBusy);
-            let pause = if is_busy { self.base_interval } else { call.target_delay / 40.0 };
+            let pause = if is_busy { self.base_interval } else { call.latency_objective / 40.0 };
             call.not_before = call.not_before.max(self.now + pause);
         }
         let not_before = call.not_before;
@@ -911,7 +911,7 @@
     /// set-up to the same node is established first, the overdue one counts as lost. While the share of lost
     /// set-ups, to that node or over all nodes, is above the threshold, overdue set-ups are presumed lost:
     /// they do not shrink the node's window, and they are cancelled if they may be sent again and this is
-    /// still possible within the target delay.
+    /// still possible within the latency objective.
     ///
     /// This recovers from lost answers and lost signalling, also if they concern one node among busier ones.
     /// The drawback: a processor that has just become slow gets some set-ups twice.
@@ -934,7 +934,7 @@
         if is_safe
             && attempt.presumed_lost
             && self.settings.limits.cancel_allowed
-            && resend_at < call.first_dialled_at + call.target_delay
+            && resend_at < call.first_dialled_at + call.latency_objective
         {
             attempt.counted_in_window = false;
             let (node, attempt_number) = (attempt.node, call.attempts_made - 1);
@@ -949,15 +949,15 @@
         let mut silent_nodes = BTreeSet::new();
         for call in self.calls.values_mut().filter(|c| !c.is_established) {
             let Some(attempt) = &mut call.attempt else { continue };
-            let (age, target_delay) = (self.now - attempt.sent_at, call.target_delay);
-            if age > SLOW_ANSWER * target_delay && !attempt.presumed_lost {
+            let (age, latency_objective) = (self.now - attempt.sent_at, call.latency_objective);
+            if age > SLOW_ANSWER * latency_objective && !attempt.presumed_lost {
                 silent_nodes.insert(attempt.node);
                 let state = self.nodes.get_mut(&attempt.node).into_iter();
                 state.for_each(|s| s.window.shrink(FAILURE_FACTOR, self.now, self.base_interval));
             }
-            // Past the target delay a set-up no longer counts in the windows, so that a trial can be sent to
-            // a silent processor.
-            let is_expired = age > target_delay && std::mem::take(&mut attempt.counted_in_window);
+            // Past the latency objective a set-up no longer counts in the windows, so that a trial can be
+            // sent to a silent processor.
+            let is_expired = age > latency_objective && std::mem::take(&mut attempt.counted_in_window);
             expired.extend(is_expired.then_some((attempt.node, age)));
         }
         // If several nodes are silent and none answers in time, the local processor is taken to be the cause.
--- a/src/policy/window.rs
+++ b/src/policy/window.rs
@@ -7,18 +7,19 @@
 pub(super) const MIN_WINDOW: f64 = 0.1;
 /// Largest size of a window in set-ups.
 pub(super) const MAX_WINDOW: f64 = 40.0;
-/// A set-up established within this share of its target delay lets the window grow.
+/// A set-up established within this share of its latency objective lets the window grow.
 pub(super) const FAST_ANSWER: f64 = 0.2;
-/// A set-up that takes longer than this share of its target delay shrinks the window.
+/// A set-up that takes longer than this share of its latency objective shrinks the window.
 pub(super) const SLOW_ANSWER: f64 = 0.4;
 /// Factor that a slow answer applies to the size of the window.
 pub(super) const SLOW_ANSWER_FACTOR: f64 = 0.7;
 /// Factor that a failure or a missing answer applies to the size of the window.
 pub(super) const FAILURE_FACTOR: f64 = 0.5;
-/// Share of the window that is open to calls which can only be established after their target delay.
+/// Share of the window that is open to calls which can only be established after their latency objective.
 pub(super) const LATE_CALL_WINDOW_SHARE: f64 = 0.3;
 
-/// Limits how many set-ups are unanswered at once to what a processor handles well within the target delay.
+/// Limits how many set-ups are unanswered at once to what a processor handles well within the latency
+/// objective.
 ///
 /// Whatever makes a processor slow, stalled, silent, cold or full, its answers come late or not at all. Its
 /// window then closes within a few set-ups, and further calls are held. The drawback: signalling that is lost
@@ -56,7 +57,7 @@
         self.next_trial_at = now + (elapsed * (1.0 / self.size - 1.0)).clamp(0.0, max_trial_interval);
     }
 
-    /// Adapts the size to a set-up that was established after `relative_delay` target delays.
+    /// Adapts the size to a set-up that was established after `relative_delay` latency objectives.
     pub(super) fn on_established(&mut self, relative_delay: f64, now: f64, min_interval: f64) {
         if relative_delay > SLOW_ANSWER {
             self.shrink(SLOW_ANSWER_FACTOR, now, min_interval);
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -93,8 +93,8 @@
     assert!(client.receive().first_line.contains(" 200 "));
 }
 
-/// An exchange may fail a share of its set-ups. Waiting before the next attempt would miss the class's target
-/// delay, and once all attempts are used the client is answered at once, not at its deadline.
+/// An exchange may fail a share of its set-ups. Waiting before the next attempt would miss the class's
+/// latency objective, and once all attempts are used the client is answered at once, not at its deadline.
 #[rstest]
 #[case::then_established(3, " 200 ")]
 #[case::until_attempts_are_exhausted(5, " 503 ")]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -17,7 +17,7 @@
 
 pub fn class(value: f64, idempotency: Idempotency) -> Class {
     Class {
-        target_delay: ms(1200),
+        latency_objective: ms(1200),
         deadline: ms(9000),
         value,
         late_value_share: 0.1,
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -135,7 +135,7 @@
 }
 
 /// Guards against set-ups that wait for their time-out on a stalled connection while other connections
-/// receive group states: they are repeated early enough to meet the target delay.
+/// receive group states: they are repeated early enough to meet the latency objective.
 #[test]
 fn set_ups_on_a_stalled_connection_are_repeated_as_soon_as_another_receives_a_group_state() {
     let (exchange, _router, mut client, stalled) = start_attempt();
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -69,12 +69,12 @@
     assert!((4..=20).contains(&silent), "{silent} set-ups in 12 s to an exchange that never answers");
 }
 
-/// Guards against a processor that has recovered but gets no calls: with target delays of half a second, a
-/// trial every three seconds leaves it without calls for several target delays.
+/// Guards against a processor that has recovered but gets no calls: with latency objectives of half a second,
+/// a trial every three seconds leaves it without calls for several times that long.
 #[test]
-fn the_trial_interval_follows_short_target_delays() {
+fn the_trial_interval_follows_short_latency_objectives() {
     let mut short_delays = settings(3);
-    short_delays.classes.iter_mut().for_each(|c| c.target_delay = ms(500));
+    short_delays.classes.iter_mut().for_each(|c| c.latency_objective = ms(500));
     let mut network = Network::new(short_delays, 1);
     drive(&mut network, 1, 120, ms(50), None);
     let mut trial_times = Vec::new();
@@ -179,11 +179,11 @@
 
 /// Guards against losses at one exchange that go unnoticed among the answers of busier ones: every third
 /// answer of one exchange is lost, and four calls in five go to another one. A call that is sent again can
-/// just be established within the short target delay.
+/// just be established within the short latency objective.
 #[test]
-fn calls_recover_from_answers_lost_at_one_exchange_within_short_target_delays() {
+fn calls_recover_from_answers_lost_at_one_exchange_within_short_latency_objectives() {
     let mut short_delays = settings(3);
-    short_delays.classes.iter_mut().for_each(|c| c.target_delay = ms(500));
+    short_delays.classes.iter_mut().for_each(|c| c.latency_objective = ms(500));
     short_delays.guard_time = ms(250);
     let mut network = Network::new(short_delays, 1);
     let (mut lost, mut established) = (Vec::new(), 0);
@@ -209,7 +209,7 @@
     let late = lost.len() as u32 * 2 / 3;
     assert!(
         established * 10 >= late * 8,
-        "{established} of about {late} calls with a lost set-up established within the target delay"
+        "{established} of about {late} calls with a lost set-up established within the latency objective"
     );
 }
 
@@ -357,11 +357,11 @@
 }
 
 #[test]
-fn a_redial_past_the_target_delay_waits_behind_a_first_call_with_as_little_time_left() {
+fn a_redial_past_the_latency_objective_waits_behind_a_first_call_with_as_little_time_left() {
     let mut network = Network::new(settings(2), 1);
     network.report_free_circuits(1, 0.0);
     network.dial("patient", 1, 0, ms(400), false);
-    network.advance(ms(1500)); // it is refused meanwhile, and its target delay passes
+    network.advance(ms(1500)); // it is refused meanwhile, and its latency objective passes
     let fresh = network.dial("hurried", 1, 0, ms(400), false);
     network.advance(ms(5));
     let redial = network.dial("patient", 1, 0, ms(400), false);
