--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -42,7 +42,7 @@
     Ended {
         /// How it ended.
         status: AttemptStatus,
-        /// Why it ended, if the exchange said.
+        /// Why it ended, if the exchange reported a cause.
         failure_cause: Option<FailureCause>,
         /// Load report in the order of the configured gauges; empty if none came with the reply.
         load_report: Vec<f64>,
@@ -69,7 +69,7 @@
     },
     /// Abandons a set-up, or releases an established call, at an exchange.
     ReleaseAtExchange {
-        /// Exchange that holds the call; `None` if it is unknown, in which case every exchange is told.
+        /// Exchange that holds the call; `None` if it is unknown: the release then goes to all.
         exchange: Option<ExchangeId>,
         /// Call to release.
         call: CallId,
@@ -116,9 +116,10 @@
     Log(String),
 }
 
+/// What is due when a timer of the core expires.
 #[derive(Debug)]
 enum Timer {
-    /// A timer of the controller is due.
+    /// A timer that the controller started.
     Controller(TimerToken),
     /// The attempt with this number times out.
     AttemptTimeout(CallId, u32),
@@ -126,7 +127,7 @@
     RequestDeadline(CallId),
 }
 
-/// Largest number of open calls; further requests are refused without the controller seeing them.
+/// Largest number of open calls; further requests are refused without being passed to the controller.
 const MAX_OPEN_CALLS: usize = 20_000;
 
 /// Time after a request's deadline at which the core answers in place of the controller.
@@ -144,7 +145,7 @@
     /// Listed exchanges.
     pub exchanges: Exchanges,
     timers: TimerQueue<Timer>,
-    /// Events that the controller has not seen yet.
+    /// Events that the controller has not handled yet.
     events: VecDeque<Event>,
     /// Effects that the front end has not taken yet.
     effects: Vec<Effect>,
@@ -263,7 +264,7 @@
         let call = self.calls.end(id, self.now);
         let attempt = call.as_ref().and_then(|c| c.attempt.clone());
         if attempt.is_some() || !known {
-            // For a call from before a restart the exchange is unknown, so every exchange is told.
+            // For a call from before a restart the exchange is unknown, so the release goes to all of them.
             let exchange = attempt.as_ref().map(|a| a.exchange.clone());
             self.effects.push(Effect::ReleaseAtExchange { exchange, call: id.clone(), cause });
         }
@@ -342,7 +343,7 @@
         self.process_events();
     }
 
-    /// Handles a load report that an exchange sent unasked.
+    /// Handles a load report that an exchange sent without a request.
     pub fn handle_load_report(&mut self, now: Duration, exchange: &ExchangeId, load_report: Vec<f64>) {
         self.advance_clock(now);
         self.events.push_back(load_reported(exchange, load_report));
@@ -510,7 +511,7 @@
     Reply::Ended { status, failure_cause: None, load_report: Vec::new() }
 }
 
-/// Returns the event for a load report that an exchange sent unasked.
+/// Returns the event for a load report that an exchange sent without a request.
 fn load_reported(exchange: &ExchangeId, load_report: Vec<f64>) -> Event {
     Event::LoadReported {
         exchange: exchange.clone(),
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -1,4 +1,4 @@
-//! Booking exchanges currently listed by the directory.
+//! The exchanges in the directory, and the nodes that they serve.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
 }
 
 impl Exchanges {
-    /// Creates an empty list that already serves the nodes named in the settings.
+    /// Creates an empty directory; the nodes that the settings name are served already.
     ///
     /// In a mesh each router has its own exchange with the same number, so that every number below the size
     /// of the fleet is a node.
@@ -27,12 +27,13 @@
         Self { entries: BTreeMap::new(), nodes, meshed_node_count }
     }
 
-    /// Applies a directory update; returns the exchanges that it removed from the list.
+    /// Applies a directory update; returns the exchanges that are no longer listed.
     pub fn apply(&mut self, kind: UpdateKind, entries: &[DirectoryEntry]) -> Vec<ExchangeId> {
         let replaces_all = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         let listed = |id: &ExchangeId| entries.iter().any(|e| e.exchange == *id);
         let before: Vec<ExchangeId> = self.entries.keys().cloned().collect();
-        // A replaced exchange comes back under a new id, so the list would grow forever if old ids were kept.
+        // A replaced exchange comes back under a new id, so memory would grow without bound if old ids were
+        // kept.
         self.entries.retain(|id, _| !replaces_all || listed(id));
         for entry in entries {
             self.nodes.insert(entry.node);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,11 +1,11 @@
-//! Interface of the decision module: its settings, the events it handles, the actions it returns, and the ids
-//! used in them.
+//! Interface of the decision module: the settings of a [`Controller`](crate::Controller), the events it
+//! handles, the actions it returns, and the ids used in them.
 //!
-//! A time is given as the [`Duration`] since the origin of the host's clock. The module never reads a clock
-//! itself.
+//! The host is the program that runs a controller: the router or the adapter. A time is given as the
+//! [`Duration`] since the origin of the host's clock. A controller never reads a clock itself.
 //!
 //! An exchange (a machine with an [`ExchangeId`]) serves a node (a [`NodeNumber`] in the network). A router
-//! asks an exchange to set a call up; the call is established once the exchange has confirmed the set-up.
+//! sends the set-up of a call to an exchange; the call is established once the exchange has confirmed it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,16 +14,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub Arc<str>);
 
-/// Id of a machine that serves an exchange (or a pool), as listed in the directory.
+/// Id of an exchange, that is, of one machine that serves a node, as the directory lists it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub Arc<str>);
 
-/// Number of a node, which is an exchange or a pool of agents in the network. During a replacement two
-/// machines serve one node.
+/// Number of a node of the network: the position of an exchange, or a pool of agents. During a replacement
+/// two exchanges serve one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeNumber(pub u32);
 
-/// Token of a timer, assigned by the decision module.
+/// Token of a timer, assigned by the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
 
@@ -201,20 +201,20 @@
     Live,
     /// Finishing its calls before a stop: takes no new set-ups.
     Draining,
-    /// Out of service, or no longer listed.
+    /// Out of service, or no longer in the directory.
     Gone,
 }
 
 /// Entry of the directory.
 #[derive(Debug, Clone)]
 pub struct DirectoryEntry {
-    /// Id of the machine.
+    /// Id of the exchange.
     pub exchange: ExchangeId,
     /// Node that it serves.
     pub node: NodeNumber,
     /// Number of its zone.
     pub zone: u32,
-    /// State of the machine.
+    /// State of the exchange.
     pub health: Health,
     /// Time of its last start; `None` if that was long ago.
     pub up_since: Option<Duration>,
@@ -382,7 +382,7 @@
     Refuse {
         /// Id of the call.
         call: CallId,
-        /// Time after which the caller may redial, if it is to be told.
+        /// Time after which the caller may redial; `None` if the answer names no time.
         hold_off: Option<Duration>,
     },
     /// Fails a call that may have run, which is a final answer.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -363,7 +363,8 @@
     // ---- directory and load reports ------------------------------------------------------------
 
     fn on_directory_update(&mut self, kind: UpdateKind, entries: &Arc<Vec<DirectoryEntry>>) {
-        // The directory is asked again at the end of the cycle, so that one that refuses is not flooded.
+        // The request is repeated at the end of the cycle, so that a directory that refuses is not flooded
+        // with requests.
         self.resubscribe_pending |= kind == UpdateKind::Failed;
         let is_complete = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         self.exchanges.values_mut().filter(|_| is_complete).for_each(|e| e.health = Health::Gone);
@@ -578,8 +579,8 @@
             (call.offered.destination, call.circuits, call.offered.is_transit, call.hold_until);
         let (is_first_try, tried_nodes) =
             (!std::mem::replace(&mut call.blocking_recorded, true), call.tried_nodes.clone());
-        // When a router is down, the front hands its calls to the other routers, and so also to the router of
-        // the destination exchange. From there the destination can be reached over another exchange only.
+        // When a router is down, its calls arrive at the other routers, and so also at the router of the
+        // destination exchange. From there the destination can be reached over another exchange only.
         let (is_pooled, to_own_node) = (self.own_node().is_none(), self.own_node() == Some(destination));
         let state = self.nodes.entry(destination).or_default();
         let is_blocked = state.free_circuits.is_some_and(|free| free < circuits);
@@ -605,7 +606,7 @@
             }
         }
         // In a mesh a call has no route left after the direct one and `MAX_TANDEMS` tandems, or after all
-        // nodes but the own one. A call to the own exchange has no direct route.
+        // nodes but this router's own. A call to the router's own exchange has no direct route.
         let max_routes = self.nodes.len().min(MAX_TANDEMS + 2 - usize::from(to_own_node));
         let is_out_of_routes = !is_pooled
             && (to_own_node || tried_nodes.contains(&destination))
@@ -748,8 +749,8 @@
     }
 
     /// Records a set-up delay for the learning of the safe rate λs, which is that of the local processor. The
-    /// delay of a node whose own window is closed is left out while the local window is open, since it says
-    /// nothing about the local processor.
+    /// delay of a node whose own window is closed is left out while the local window is open, since it does
+    /// not depend on the local processor.
     fn record_local_delay(&mut self, node: NodeNumber, relative_delay: f64) {
         if self.local_window.size < 1.0 || self.nodes.get(&node).is_none_or(|s| s.window.size >= 1.0) {
             self.admission.record_delay(relative_delay);
@@ -960,7 +961,8 @@
             let is_expired = age > latency_objective && std::mem::take(&mut attempt.counted_in_window);
             expired.extend(is_expired.then_some((attempt.node, age)));
         }
-        // If several nodes are silent and none answers in time, the local processor is taken to be the cause.
+        // If several nodes are silent and none has answered in time for two base intervals, the local
+        // processor is taken to be the cause.
         if silent_nodes.len() > 1 && self.now > self.last_timely_answer_at + 2.0 * self.base_interval {
             self.local_window.shrink(FAILURE_FACTOR, self.now, self.base_interval);
         }
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -475,8 +475,8 @@
 fn the_shipped_configuration_files_are_valid(#[case] text: &str, #[case] appliance: bool) {
     let config = quartzspindle::lifecycle::config::Config::parse(text).unwrap();
     assert_eq!(config.known_updates[0].exchanges.len(), 1);
-    let set_up = (config.enum_front.is_some(), config.vrrp.is_some(), config.has_console);
-    assert_eq!(set_up, (appliance, appliance, appliance));
+    let configured = (config.enum_front.is_some(), config.vrrp.is_some(), config.has_console);
+    assert_eq!(configured, (appliance, appliance, appliance));
 }
 
 #[test]
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -246,8 +246,8 @@
     assert_eq!(network.outstanding_at(&call), None, "the last circuits of the first leg are reserved");
 }
 
-/// Guards against the loss of calls whose router is down: the front hands them to all other routers, and so
-/// also to that of their destination, which can reach its own exchange over tandems only.
+/// Guards against the loss of calls whose router is down: they arrive at the other routers, and so also at
+/// that of their destination, which can reach its own exchange over tandems only.
 #[test]
 fn a_call_to_the_own_exchange_goes_over_tandems_and_is_refused_once_all_cranked_it_back() {
     let mut network = Network::new(settings(3), 1);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -51,9 +51,9 @@
             network.establish(&call);
         }
     }
-    // The capacity is unknown, so the module bases its budget on the offered rate (50/s; the smoothed rate X
-    // is below it): multiple 4 x cold share 0.3 x 50/s x 2 s / 4 senders = 30 per window at first, 100 once
-    // warm.
+    // The capacity is unknown, so the controller bases its budget on the offered rate (50/s; the smoothed
+    // rate X is below it): multiple 4 x cold share 0.3 x 50/s x 2 s / 4 senders = 30 per window at first, 100
+    // once warm.
     let window = |t: Duration| sends.iter().filter(|s| **s >= t && **s < t + ms(2000)).count();
     assert!((1..=30).contains(&window(up_since)), "{} set-ups in the first window", window(up_since));
     for t in &sends {
@@ -77,7 +77,7 @@
         outstanding.iter().for_each(|call| drop(network.establish(call)));
     }
     // With the lowest capacity share throughout it would be 27 in 2 s, and 86 in the second half.
-    assert!(halves[1] > 100, "{halves:?} set-ups in the two halves of the cold time");
+    assert!(halves[1] > 100, "{halves:?} set-ups in the two halves of the warm-up time");
 }
 
 /// Guards against an exchange that stays idle after a restart. While warm it took 50 set-ups per second from
@@ -251,21 +251,21 @@
     let exchange = ExchangeId("nowhere".into());
     assert!(network.handle(Event::CallAbandoned(call.clone())).is_empty());
     assert!(network.handle(Event::TimerExpired(TimerToken(987_654))).is_empty());
-    let stands = Event::CallEstablished {
+    let established = Event::CallEstablished {
         call: call.clone(),
         attempt_number: 3,
         exchange: exchange.clone(),
         elapsed: ms(5),
     };
-    assert!(network.handle(stands).is_empty());
+    assert!(network.handle(established).is_empty());
     let report = vec![-1.0, f64::NAN, 7.0, 8.0, 9.0];
-    let sampled = Event::LoadReported {
+    let load_reported = Event::LoadReported {
         exchange: exchange.clone(),
         probe_answered: true,
         elapsed: ms(5),
         load_report: report.clone(),
     };
-    assert!(network.handle(sampled).is_empty());
+    assert!(network.handle(load_reported).is_empty());
     let status = AttemptStatus::Full;
     let outcome = Outcome {
         call,
