--- a/src/bin/quartzspindle-adapter/main.rs
+++ b/src/bin/quartzspindle-adapter/main.rs
@@ -20,10 +20,10 @@
 
 #[derive(Default)]
 struct Adapter {
-    /// Controllers by instance name; `None` after a controller panicked or rejected its settings. Events for
-    /// such an instance are ignored.
+    /// Controllers by instance name (`SoftswitchId`); `None` after a controller panicked or rejected its
+    /// settings. Events for such an instance are ignored.
     controllers: BTreeMap<String, Option<Controller>>,
-    /// Directory lists by number (`Ref`), to which `Announce` events refer.
+    /// Directories by number (`Ref`), to which `Announce` events refer.
     directories: BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
 }
 
@@ -46,7 +46,7 @@
         if op == "Directory" {
             let directory: wire::Directory = deserialize_without_nulls(value)?;
             let entries = directory.rows.into_iter().map(wire::parse_entry).collect::<Result<Vec<_>, _>>()?;
-            self.directories.insert(directory.list_number, Arc::new(entries));
+            self.directories.insert(directory.directory_number, Arc::new(entries));
             return Ok(());
         }
         if !wire::INSTANCE_EVENTS.contains(&op.as_str()) {
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -30,16 +30,16 @@
     pub happened: Vec<Value>,
 }
 
-/// Directory list, to which later `Announce` events refer by its number.
+/// Directory, to which later `Announce` events refer by its number.
 #[derive(Deserialize)]
 pub struct Directory {
     #[serde(rename = "Ref")]
-    pub list_number: u64,
+    pub directory_number: u64,
     #[serde(rename = "RowsIn")]
     pub rows: Vec<Row>,
 }
 
-/// Row of a directory list.
+/// Row of a directory.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
@@ -50,7 +50,7 @@
     campus: Option<u32>,
 }
 
-/// Translates a row of a directory list.
+/// Translates a row of a directory.
 pub fn parse_entry(row: Row) -> Result<DirectoryEntry, String> {
     let health = match row.health.as_str() {
         "live" => Health::Live,
@@ -103,6 +103,7 @@
     tick_ns: Option<u64>,
 }
 
+/// Settings of a class. [`Domain`] has its circuits, holding time and pools, in lists by class number.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct WireClass {
@@ -115,12 +116,14 @@
     window_ns: Option<u64>,
 }
 
+/// Settings of a tenant.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct WireTenant {
     quota_per_s: Option<f64>,
 }
 
+/// Settings of the network, and those of each class that depend on it.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Domain {
@@ -134,6 +137,7 @@
     topology: Option<String>,
 }
 
+/// Parameters of the rules, see [`RuleSettings`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct WireContract {
@@ -145,6 +149,7 @@
     ask_within_ns: Option<u64>,
 }
 
+/// Limits and permissions, see [`PolicyLimits`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct WireLimits {
@@ -156,12 +161,14 @@
     max_retry_after_ns: Option<u64>,
 }
 
+/// Names of the figures in a load report.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Stats {
     names: Option<Vec<String>>,
 }
 
+/// Deductions from the score, see [`Penalties`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct WirePenalties {
@@ -171,6 +178,7 @@
     peer: Option<f64>,
 }
 
+/// Settings of the callers.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Clients {
@@ -284,14 +292,16 @@
     })
 }
 
+/// Update of the directory.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Announce {
     mode: String,
     #[serde(rename = "Ref")]
-    list_number: Option<u64>,
+    directory_number: Option<u64>,
 }
 
+/// Call that a caller asks for, see [`OfferedCall`].
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Query {
@@ -308,6 +318,7 @@
     reconnect: Option<bool>,
 }
 
+/// End of an attempt, or of the call that it established, see [`Outcome`].
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct ReportBack {
@@ -321,6 +332,7 @@
     gauge: Option<Vec<Option<f64>>>,
 }
 
+/// Answer to a probe, or a load report without a probe.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Sampled {
@@ -330,6 +342,7 @@
     gauge: Option<Vec<Option<f64>>>,
 }
 
+/// Call that was established.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Accepted {
@@ -358,7 +371,7 @@
     })
 }
 
-/// Translates `Why`; a full processor is 3, plus 16 for each millisecond of the wait that it asks for.
+/// Translates `Why`; a full processor is 3, plus 16 for each millisecond of the wait that it reports.
 fn parse_cause(why: u64) -> Option<FailureCause> {
     let wait = (why >= 16).then(|| Duration::from_millis(why / 16));
     match why {
@@ -371,7 +384,7 @@
     }
 }
 
-/// Returns the node with this number; a negative number stands for no node.
+/// Returns the node with this number; a negative number means no node.
 fn parse_node_number(number: Option<f64>) -> Option<NodeNumber> {
     number.filter(|n| *n >= 0.0 && *n <= f64::from(u32::MAX)).map(|n| NodeNumber(n as u32))
 }
@@ -380,7 +393,7 @@
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
-/// Translates an event for a controller. `directories` holds the lists given so far.
+/// Translates an event for a controller. `directories` holds the directories given so far.
 pub fn parse_event(
     op: &str,
     value: Value,
@@ -396,13 +409,13 @@
                 "error" => UpdateKind::Failed,
                 other => return Err(format!("unknown Mode {other:?}")),
             };
-            let entries = match (kind, announcement.list_number.and_then(|n| directories.get(&n))) {
+            let entries = match (kind, announcement.directory_number.and_then(|n| directories.get(&n))) {
                 (UpdateKind::Failed, _) => Arc::default(),
-                (_, Some(list)) => Arc::clone(list),
+                (_, Some(entries)) => Arc::clone(entries),
                 (_, None) => {
                     return Err(format!(
-                        "Announce refers to an unknown list: Ref {:?}",
-                        announcement.list_number
+                        "Announce refers to an unknown directory: Ref {:?}",
+                        announcement.directory_number
                     ))
                 }
             };
