--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -134,9 +134,9 @@
     let behaviour = |n| if n == 0 { Behaviour::Drop } else { Behaviour::Answer(0, vec![record_for_node(1)]) };
     let mut router = Router::start(&enum_config(&[], &[start_server(behaviour)], &json!({})));
     let to = router.logged_address("answering look-ups");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(ask(&bind_resolver(), to, 10, QUERY_NAME).records.len(), 1);
-    assert!(begun.elapsed() >= Duration::from_millis(700 + 500), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() >= Duration::from_millis(700 + 500), "{:?}", started_at.elapsed());
 }
 
 #[test]
@@ -168,9 +168,9 @@
         start_server(|_| Behaviour::Answer(0, vec![record_for_node(1)])),
     ];
     let mut router = Router::start(&enum_config(&[], &upstreams, &json!({"query_timeout_ms": 3000})));
-    let (to, begun) = (router.logged_address("answering look-ups"), Instant::now());
+    let (to, started_at) = (router.logged_address("answering look-ups"), Instant::now());
     assert_eq!(ask(&bind_resolver(), to, 8, QUERY_NAME).records, vec![record_for_node(1)]);
-    assert!(begun.elapsed() < Duration::from_secs(1), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < Duration::from_secs(1), "{:?}", started_at.elapsed());
 }
 
 /// Starts a server that truncates its datagrams and sends the full answer over TCP, changed by
@@ -210,14 +210,14 @@
         enum_config(&[exchange.address], &[start_tcp_server(corrupt_response)], &json!({"attempts": 1}));
     config["enum"]["listen"] = Value::Null;
     let router = Router::start(&config);
-    let mut caller = router.connect_client();
-    caller.wait_until_ready();
-    caller.send_request("INVITE", "00000000000000a7", "X-Call-Class: voice\r\nX-Ring-Limit: 3000\r\n", BODY);
+    let mut client = router.connect_client();
+    client.wait_until_ready();
+    client.send_request("INVITE", "00000000000000a7", "X-Call-Class: voice\r\nX-Ring-Limit: 3000\r\n", BODY);
     if answer == " 200 " {
         let (_, stream, _) = exchange.receive("START");
         send_started(&stream, "00000000000000a7");
     }
-    assert!(caller.receive().first_line.contains(answer));
+    assert!(client.receive().first_line.contains(answer));
 }
 
 /// After a reload that changes the servers, a look-up pending at a removed server still completes there.
@@ -282,10 +282,10 @@
 #[rstest]
 #[case::not_a_number("www.e164.arpa", 3)]
 #[case::another_zone("www.example", 5)]
-fn queries_that_are_not_served_are_refused(#[case] asked: &str, #[case] rcode: u8) {
+fn queries_that_are_not_served_are_refused(#[case] query_name: &str, #[case] rcode: u8) {
     let mut router = Router::start(&enum_config(&[], &[start_server(|_| Behaviour::Drop)], &json!({})));
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
-    assert_eq!(ask(&socket, to, 9, asked).rcode, rcode);
+    assert_eq!(ask(&socket, to, 9, query_name).rcode, rcode);
     // Responses and datagrams shorter than a header get no answer; other invalid messages get FORMERR.
     socket.send_to(&[1; 5], to).unwrap();
     socket
@@ -309,19 +309,19 @@
 ) {
     let exchange = Exchange::start();
     let router = Router::start(&enum_config(&[exchange.address], &[start_server(behaviour)], &json!({})));
-    let mut caller = router.connect_client();
-    caller.wait_until_ready();
-    let begun = Instant::now();
+    let mut client = router.connect_client();
+    client.wait_until_ready();
+    let started_at = Instant::now();
     let headers = "X-Call-Class: voice\r\nX-Ring-Limit: 2000\r\n";
-    caller.send_request("INVITE", "00000000000000e1", headers, BODY);
+    client.send_request("INVITE", "00000000000000e1", headers, BODY);
     if refused.is_none() {
         let (start, stream, _) = exchange.receive("START");
         assert_eq!(start["blob"], BODY);
         send_started(&stream, "00000000000000e1");
     }
     let status = refused.unwrap_or(200);
-    assert!(caller.receive().first_line.contains(&format!(" {status} ")));
-    assert!(begun.elapsed() < Duration::from_millis(2000) + TIMING_TOLERANCE);
+    assert!(client.receive().first_line.contains(&format!(" {status} ")));
+    assert!(started_at.elapsed() < Duration::from_millis(2000) + TIMING_TOLERANCE);
 }
 
 /// When a fifth of the queries is lost and the rest is answered seconds late, each call still gets one
@@ -337,8 +337,8 @@
     let exchange = Exchange::start();
     let slow = json!({"query_timeout_ms": 2500, "share": 0.6, "answer_within_ms": 6000});
     let router = Router::start(&enum_config(&[exchange.address], &upstreams, &slow));
-    let mut caller = router.connect_client();
-    caller.wait_until_ready();
+    let mut client = router.connect_client();
+    client.wait_until_ready();
     let address = exchange.address;
     thread::spawn(move || {
         let _ = address;
@@ -346,23 +346,23 @@
             send_started(&stream, start["tag"].as_str().unwrap());
         }
     });
-    let mut asked = BTreeMap::new();
+    let mut sent_at = BTreeMap::new();
     for call in 0..CALLS {
         let headers = "X-Call-Class: voice\r\nX-Ring-Limit: 8000\r\n";
         let id = format!("{:016x}", 0xf00 + call);
-        caller.send_request("INVITE", &id, headers, BODY);
-        asked.insert(id, Instant::now());
+        client.send_request("INVITE", &id, headers, BODY);
+        sent_at.insert(id, Instant::now());
         thread::sleep(Duration::from_millis(50)); // one call every 50 ms
     }
     let (mut established, mut answered) = (0, HashSet::new());
-    while answered.len() < asked.len() {
-        let answer = caller.receive();
+    while answered.len() < sent_at.len() {
+        let answer = client.receive();
         let id = answer.head.lines().find_map(|l| l.strip_prefix("Call-ID: ")).unwrap().to_owned();
-        assert!(asked[&id].elapsed() < Duration::from_secs(8) + TIMING_TOLERANCE, "{id} too late");
+        assert!(sent_at[&id].elapsed() < Duration::from_secs(8) + TIMING_TOLERANCE, "{id} too late");
         established += u32::from(answer.first_line.contains(" 200 "));
         assert!(answered.insert(id), "a second answer");
     }
-    assert!(caller.receive_within(Duration::from_millis(500)).is_none(), "an extra answer");
+    assert!(client.receive_within(Duration::from_millis(500)).is_none(), "an extra answer");
     assert!(established > 0, "no call was established");
     println!("{established} of {CALLS} established with {servers} servers");
 }
@@ -376,8 +376,8 @@
     let config = enum_config(&[exchange.address], &[upstream], &json!({"most_look_ups": 64}));
     let mut router = Router::start(&config);
     let (to, socket) = (router.logged_address("answering look-ups"), bind_resolver());
-    let mut caller = router.connect_client();
-    caller.wait_until_ready();
+    let mut client = router.connect_client();
+    client.wait_until_ready();
     thread::scope(|scope| {
         let flood = scope.spawn(|| {
             for n in 0..20_000u32 {
@@ -392,13 +392,13 @@
             let id = format!("{:016x}", 0xd00 + call);
             if call % 10 == 9 {
                 let headers = "X-Call-Class: voice\r\nX-Ring-Limit: 4000\r\n";
-                caller.send_request("INVITE", &id, headers, BODY);
+                client.send_request("INVITE", &id, headers, BODY);
             } else {
-                caller.send_invite(&id, 1, 1500);
+                client.send_invite(&id, 1, 1500);
             }
             let (_, stream, _) = exchange.receive("START");
             send_started(&stream, &id);
-            assert!(caller.receive().first_line.contains(" 200 "));
+            assert!(client.receive().first_line.contains(" 200 "));
         }
         flood.join().unwrap();
     });
@@ -589,16 +589,16 @@
         config
     };
     let mut router = Router::start(&config(100));
-    let heard = || {
+    let next_advertisement = || {
         let mut buffer = [0; 100];
         let length = end.recv(&mut buffer).unwrap();
         (Instant::now(), Advertisement::decode(&buffer[..length]).unwrap().priority)
     };
-    assert_eq!(heard().1, 100);
+    assert_eq!(next_advertisement().1, 100);
     router.reload(&config(150).to_string(), "reloaded");
-    let mut last = heard();
+    let mut last = next_advertisement();
     while last.1 == 100 {
-        let next = heard();
+        let next = next_advertisement();
         assert!(next.0 - last.0 < ms(300), "gap between advertisements: {:?}", next.0 - last.0);
         last = next;
     }
