--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -100,7 +100,8 @@
         let platform = self.platform.borrow();
         for entry in platform.core.exchanges.entries() {
             let pool = platform.pools().find(|(id, _)| **id == entry.exchange).map(|(_, pool)| pool);
-            let (address, open) = pool.map_or((String::new(), 0), |p| (p.address.to_string(), p.open()));
+            let (address, open) =
+                pool.map_or((String::new(), 0), |p| (p.address.to_string(), p.open_connections()));
             let (id, node) = (&entry.exchange.0, entry.node.0);
             let _ = writeln!(text, "{id} place {node} {:?} {address} connections {open}", entry.health);
         }
--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -51,11 +51,11 @@
     let listener =
         connection::listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
     let platform = Platform::new(&config, log.clone(), clock)?;
-    tokio::task::spawn_local(sockets::keep_time(platform.clone()));
-    tokio::task::spawn_local(sockets::follow(platform.clone()));
+    tokio::task::spawn_local(sockets::run_timers(platform.clone()));
+    tokio::task::spawn_local(sockets::follow_coordinator(platform.clone()));
     if let Some(address) = config.peer_listen.filter(|_| config.settings.limits.peer_messages_allowed) {
         let socket = bind_udp("peer_listen", address).await?;
-        tokio::task::spawn_local(sockets::hear_peers(platform.clone(), Rc::new(socket)));
+        tokio::task::spawn_local(sockets::receive_peer_datagrams(platform.clone(), Rc::new(socket)));
     }
     let is_active = Rc::new(Cell::new(true));
     let mut enum_front = None;
@@ -180,7 +180,7 @@
 impl AcceptTask {
     fn start(platform: Handle, listener: TcpListener) -> Self {
         let stop = Rc::new(Notify::new());
-        let task = tokio::task::spawn_local(sockets::accept(platform, listener, stop.clone()));
+        let task = tokio::task::spawn_local(sockets::accept_clients(platform, listener, stop.clone()));
         Self { stop, task }
     }
 }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-use super::connection::{self, Clock, Timed};
+use super::connection::{self, Clock, TimerDriven};
 use crate::call::calls::Origin;
 use crate::call::core::{Core, Effect, Reply, Request};
 use crate::call::exchanges::Exchanges;
@@ -489,12 +489,12 @@
     }
 }
 
-impl Timed for EnumFront {
+impl TimerDriven for EnumFront {
     fn next_due(&self) -> Option<Duration> {
         self.core.next_due()
     }
 
-    fn wake(&mut self, now: Duration) {
+    fn run_due(&mut self, now: Duration) {
         self.core.run_due_timers(now);
         self.flush();
     }
@@ -508,5 +508,5 @@
 /// Runs the timers of the core, and reports the capacity of the upstream servers at an interval.
 pub async fn run_timers(front: Handle) {
     let (clock, due_changed) = (front.borrow().clock, front.borrow().due_changed.clone());
-    connection::keep_time(front, clock, due_changed, REPORT_INTERVAL).await;
+    connection::run_timers(front, clock, due_changed, REPORT_INTERVAL).await;
 }
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -96,7 +96,7 @@
         let due = router.state_machine.borrow().next_due().unwrap_or_else(|| router.clock.now());
         tokio::select! {
             () = router.stopped.notified() => return,
-            () = tokio::time::sleep_until(router.clock.instant(due)) => {
+            () = tokio::time::sleep_until(router.clock.instant_at(due)) => {
                 let advertisement = router.state_machine.borrow_mut().on_timer(router.clock.now());
                 router.send(advertisement);
             }
