--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -92,7 +92,7 @@
 
     fn calls(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        let established = platform.core.calls.standing();
+        let established = platform.core.calls.established();
         let _ = writeln!(text, "calls unanswered {} standing {established}", platform.unanswered());
     }
 
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -218,7 +218,7 @@
             is_transit: false,
             is_reconnect: false,
         };
-        let request = Request { origin: Origin(self.last_number), offer, description: "".into() };
+        let request = Request { origin: Origin(self.last_number), offered: offer, description: "".into() };
         self.core.handle_request(self.clock.now(), request);
         self.flush();
     }
@@ -277,7 +277,9 @@
 
     fn execute(&mut self, effect: Effect) {
         match effect {
-            Effect::SendSetUp { exchange, call, left, .. } => self.send_query(&exchange, &call, left),
+            Effect::SendSetUp { exchange, call, remaining, .. } => {
+                self.send_query(&exchange, &call, remaining)
+            }
             Effect::ReleaseAtExchange { exchange: Some(exchange), call, .. } => {
                 self.end_query(&exchange, &call)
             }
@@ -287,7 +289,7 @@
             }
             Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
-            Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::TellAll(_) => {}
+            Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::Broadcast(_) => {}
         }
     }
 
@@ -343,7 +345,7 @@
                 dns::NOERROR | dns::NXDOMAIN => {
                     self.results
                         .insert(call.clone(), LookUpResult { rcode: reply.rcode, records: reply.records });
-                    self.core.handle_reply(now, exchange, call, Reply::Stands("".into()));
+                    self.core.handle_reply(now, exchange, call, Reply::Established("".into()));
                     AttemptStatus::Ended
                 }
                 // Another server may be able to resolve the name.
@@ -354,7 +356,12 @@
         if status != AttemptStatus::Ended {
             debug!(self.log, "look-up attempt failed"; "upstream" => &*exchange.0, "status" => ?status);
         }
-        self.core.handle_reply(now, exchange, call, Reply::Ended { status, cause: None, report: Vec::new() });
+        self.core.handle_reply(
+            now,
+            exchange,
+            call,
+            Reply::Ended { status, failure_cause: None, load_report: Vec::new() },
+        );
         self.report_capacity();
         self.flush();
         self.results.remove(call); // still there only if no requester was waiting
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -2,42 +2,53 @@
 
 use super::*;
 
+/// Q.850 cause 34: no circuit or channel available.
+const CAUSE_NO_CIRCUIT: u32 = 34;
+/// Q.850 cause 102: recovery on timer expiry.
+const CAUSE_TIMER_EXPIRY: u32 = 102;
+
 impl Platform {
-    pub(in crate::net) fn on_exchange_line(
+    /// Handles a message of an exchange.
+    pub(in crate::net) fn on_exchange_message(
         &mut self,
         exchange: &ExchangeId,
         connection: ConnectionId,
-        line: &jsonl::Message,
+        message: &jsonl::Message,
     ) {
         if self.is_stopped {
             return; // no client can be informed any more; the exchange repeats this to the next process
         }
         let now = self.clock.now();
-        let id = CallId(line.tag.as_str().into());
-        let is_answer = matches!(line.verb.as_str(), "STARTED" | "FINISH");
+        let id = CallId(message.tag.as_str().into());
+        let is_answer = matches!(message.verb.as_str(), "STARTED" | "FINISH");
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        pool.on_line(now, connection, is_answer.then_some(&id));
-        if line.verb == "LOAD" {
+        pool.on_message(now, connection, is_answer.then_some(&id));
+        if message.verb == "LOAD" {
             pool.on_group_state(now, connection);
         }
-        let report = line.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
-        match line.verb.as_str() {
+        let report = message.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
+        match message.verb.as_str() {
             "LOAD" => self.core.handle_load_report(now, exchange, report),
             "STARTED" => {
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
                 self.metrics.count_attempt_outcome("stands");
-                let description = line.blob.as_deref().unwrap_or_default().into();
-                self.core.handle_reply(now, exchange, &id, Reply::Stands(description));
+                let description = message.blob.as_deref().unwrap_or_default().into();
+                self.core.handle_reply(now, exchange, &id, Reply::Established(description));
             }
             "FINISH" => {
-                let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.stands);
-                let status = release_status(line.cause, was_established);
-                let cause = line.note.as_deref().and_then(failure_cause);
+                let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.is_established);
+                let status = release_status(message.cause, was_established);
+                let cause = message.note.as_deref().and_then(failure_cause);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0,
-                    "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?line.cause,
-                    "note" => line.note.as_deref().unwrap_or(""));
+                    "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?message.cause,
+                    "note" => message.note.as_deref().unwrap_or(""));
                 self.metrics.count_attempt_outcome(outcome_label(status));
-                self.core.handle_reply(now, exchange, &id, Reply::Ended { status, cause, report });
+                self.core.handle_reply(
+                    now,
+                    exchange,
+                    &id,
+                    Reply::Ended { status, failure_cause: cause, load_report: report },
+                );
                 if was_established {
                     self.send_to_exchange(exchange, connection, &jsonl::reply("FINISHED", &id.0, None));
                 }
@@ -76,7 +87,7 @@
     pub(super) fn connect_if_needed(&mut self, exchange: &ExchangeId) {
         let (now, id) = (self.clock.now(), ConnectionId(self.next_connection_id()));
         let Some(pool) = self.pools.get_mut(exchange) else { return };
-        let is_idle_with_calls = pool.is_idle(now) && self.core.stands_at(exchange);
+        let is_idle_with_calls = pool.is_idle(now) && self.core.has_established_call_at(exchange);
         if is_idle_with_calls && pool.is_out_of_reach(now) {
             warn!(self.log, "exchange out of reach, releasing its calls"; "exchange_id" => &*exchange.0);
             self.core.reset_calls_at(now, exchange);
@@ -97,6 +108,7 @@
         ));
     }
 
+    /// Adds a new connection to the pool of its exchange.
     pub(in crate::net) fn on_exchange_connected(
         &mut self,
         exchange: &ExchangeId,
@@ -110,6 +122,7 @@
         }
     }
 
+    /// Reports the unsent set-ups to the core, and the loss of all calls if the exchange's process has ended.
     pub(in crate::net) fn on_exchange_connect_failed(&mut self, exchange: &ExchangeId, error: &io::Error) {
         let now = self.clock.now();
         let is_refused = error.kind() == io::ErrorKind::ConnectionRefused;
@@ -130,6 +143,7 @@
         self.flush();
     }
 
+    /// Removes a connection that has ended from its pool, and reports the attempts that were open on it.
     pub(in crate::net) fn on_exchange_disconnected(
         &mut self,
         exchange: &ExchangeId,
@@ -165,11 +179,11 @@
         may_have_run: bool,
     ) {
         let status = ExchangePool::status_after_loss(may_have_run);
-        if self.core.calls.open.get(id).is_some_and(|c| !c.stands) {
+        if self.core.calls.open.get(id).is_some_and(|c| !c.is_established) {
             debug!(self.log, "attempt lost its connection"; "call_id" => &*id.0,
                 "exchange_id" => &*exchange.0, "status" => ?status);
             self.metrics.count_attempt_outcome(outcome_label(status));
-            let reply = Reply::Ended { status, cause: None, report: Vec::new() };
+            let reply = Reply::Ended { status, failure_cause: None, load_report: Vec::new() };
             self.core.handle_reply(self.clock.now(), exchange, id, reply);
         }
     }
@@ -178,18 +192,19 @@
 /// Returns the status of an attempt, or of an established call, that its exchange has released.
 fn release_status(cause: Option<u32>, was_established: bool) -> AttemptStatus {
     match (cause, was_established) {
-        (Some(41), _) => AttemptStatus::Reset,
+        (Some(CAUSE_TEMPORARY_FAILURE), _) => AttemptStatus::Reset,
         (_, true) => AttemptStatus::Ended,
-        (Some(34), false) => AttemptStatus::Full,
-        (Some(102), false) => AttemptStatus::Moot,
+        (Some(CAUSE_NO_CIRCUIT), false) => AttemptStatus::Full,
+        (Some(CAUSE_TIMER_EXPIRY), false) => AttemptStatus::Moot,
         // The call was established at the exchange and ended normally, and its answer was lost: it must not
         // be set up again. (A call that the router has given up is closed at once, so its release does not
         // get here.)
-        (Some(16), false) => AttemptStatus::Ended,
+        (Some(CAUSE_NORMAL_CLEARING), false) => AttemptStatus::Ended,
         _ => AttemptStatus::Error,
     }
 }
 
+/// Returns the cause that the note of a refused attempt names, if it is a known one.
 fn failure_cause(note: &str) -> Option<FailureCause> {
     Some(match note {
         "group_full" => FailureCause::NoCircuit,
