--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -349,7 +349,7 @@
         return share.invalid("must be between 0 and 1");
     }
     let routes = root.get("routes");
-    let mut hosts = HashMap::new();
+    let mut node_by_host = HashMap::new();
     for host in
         routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>()).into_iter().flat_map(|m| m.keys())
     {
@@ -357,12 +357,12 @@
         let fields = routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
         let node =
             ConfigNode { path: format!("enum.routes.{host}"), value: fields.and_then(|f| f.get(host)) };
-        hosts.insert(host.to_ascii_lowercase(), NodeNumber(node.whole_u32(0)?));
+        node_by_host.insert(host.to_ascii_lowercase(), NodeNumber(node.whole_u32(0)?));
     }
     let upstreams = read_addresses(&root.get("upstreams"))?;
     let window = read_bounded(&root.get("window"), 64, 1, 256)?;
     let answer_within = read_millis(&root.get("answer_within_ms"), 4000)?;
-    let guard = read_millis(&root.get("guard_ms"), 500)?;
+    let guard_time = read_millis(&root.get("guard_ms"), 500)?;
     let query_timeout = read_millis(&root.get("query_timeout_ms"), 1500)?;
     let attempts = read_bounded(&root.get("attempts"), 4, 1, 16)?;
     Ok(Some(EnumConfig {
@@ -373,8 +373,8 @@
         look_up_share,
         max_look_ups: read_bounded(&root.get("most_look_ups"), 512, 8, 65_536)? as usize,
         window_per_upstream: window as usize,
-        routes: hosts,
-        settings: upstream_settings(query_timeout, guard, attempts as u32),
+        routes: node_by_host,
+        settings: upstream_settings(query_timeout, guard_time, attempts as u32),
         upstreams,
     }))
 }
@@ -389,12 +389,12 @@
 /// The target delay derives from the query time-out, because every reply that arrives before the time-out is
 /// equally good. With the caller's remaining time as target delay, a slow but healthy server was taken for
 /// overloaded, and few look-ups were sent to it.
-fn upstream_settings(query_timeout: Duration, guard: Duration, max_attempts: u32) -> Settings {
+fn upstream_settings(query_timeout: Duration, guard_time: Duration, max_attempts: u32) -> Settings {
     let target_delay = TARGET_DELAY_TIMEOUTS * query_timeout;
-    let class = |worth| Class {
+    let class = |value| Class {
         target_delay,
         deadline: target_delay,
-        value: worth,
+        value,
         late_value_share: 0.5,
         idempotency: Idempotency::Safe,
         circuits: 1,
@@ -408,7 +408,7 @@
         fleet_size: 1,
         controller_number: 0,
         topology: Topology::Pools,
-        guard_time: guard,
+        guard_time,
         resend_interval: Duration::ZERO,
         rules: RuleSettings::default(),
         limits: PolicyLimits { max_attempts, ..PolicyLimits::default() },
@@ -490,8 +490,8 @@
     if classes.is_empty() {
         return root.get("Classes").invalid("must name a class");
     }
-    let widths = domain.get("ChannelsNeeded").items()?;
-    let holds = domain.get("ClassHoldNs").items()?;
+    let circuits = domain.get("ChannelsNeeded").items()?;
+    let holding_times = domain.get("ClassHoldNs").items()?;
     let pools = domain.get("SkilledPools").items()?;
     let classes = classes.iter().enumerate().map(|(i, class)| {
         Ok(Class {
@@ -500,8 +500,8 @@
             value: class.get("Worth").number(0.0)?,
             late_value_share: class.get("LateShare").number(0.0)?,
             idempotency: read_idempotency(class)?,
-            circuits: widths.get(i).map_or(Ok(1), |w| w.whole_u32(1))?,
-            mean_holding_time: holds.get(i).map_or(Ok(Duration::ZERO), ConfigNode::duration_ns)?,
+            circuits: circuits.get(i).map_or(Ok(1), |w| w.whole_u32(1))?,
+            mean_holding_time: holding_times.get(i).map_or(Ok(Duration::ZERO), ConfigNode::duration_ns)?,
             pools: match pools.get(i) {
                 None => Vec::new(),
                 Some(list) => list
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -98,7 +98,7 @@
     upstreams: BTreeMap<ExchangeId, Upstream>,
     last_number: u64,
     /// Notified when the next due time may have changed.
-    due_changed: Rc<Notify>,
+    timers_changed: Rc<Notify>,
 }
 
 /// Shared handle to the front. Tasks must not hold a borrow across an await.
@@ -133,7 +133,7 @@
                 results: HashMap::new(),
                 upstreams: BTreeMap::new(),
                 last_number: 0,
-                due_changed: Rc::default(),
+                timers_changed: Rc::default(),
             };
             front.apply_upstreams();
             RefCell::new(front)
@@ -205,7 +205,7 @@
         let number: Arc<str> = name.to_string().into();
         self.requesters.insert(id.clone(), requester);
         self.names.insert(id.clone(), name);
-        let offer = OfferedCall {
+        let offered = OfferedCall {
             call: id,
             class,
             tenant: 0,
@@ -218,7 +218,7 @@
             is_transit: false,
             is_reconnect: false,
         };
-        let request = Request { origin: Origin(self.last_number), offered: offer, description: "".into() };
+        let request = Request { origin: Origin(self.last_number), offered, description: "".into() };
         self.core.handle_request(self.clock.now(), request);
         self.flush();
     }
@@ -272,7 +272,7 @@
             }
             effects.into_iter().for_each(|effect| self.execute(effect));
         }
-        self.due_changed.notify_one();
+        self.timers_changed.notify_one();
     }
 
     fn execute(&mut self, effect: Effect) {
@@ -319,12 +319,12 @@
     }
 
     /// Starts a task that sends one query to an upstream server and waits for the reply until the time-out.
-    fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, left: Duration) {
+    fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, remaining: Duration) {
         let (Some(front), Some(name)) = (self.self_ref.upgrade(), self.names.get(call).cloned()) else {
             return;
         };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
-        let (address, timeout) = (upstream.address, left.min(self.config.query_timeout));
+        let (address, timeout) = (upstream.address, remaining.min(self.config.query_timeout));
         let (exchange, id) = (exchange.clone(), call.clone());
         let task = tokio::task::spawn_local(async move {
             let reply = tokio::time::timeout(timeout, query_upstream(address, &name)).await;
@@ -456,8 +456,8 @@
                 if front.requesters.len() >= front.config.max_look_ups {
                     return Resolution::Unknown;
                 }
-                let left = deadline.saturating_duration_since(tokio::time::Instant::now());
-                front.begin(Requester::Call(sender), CALL_CLASS, name.clone(), left);
+                let remaining = deadline.saturating_duration_since(tokio::time::Instant::now());
+                front.begin(Requester::Call(sender), CALL_CLASS, name.clone(), remaining);
             }
             let Ok(Some(result)) = receiver.await else { return Resolution::Unknown };
             let targets = dns::targets(&result.records, &e164_number);
@@ -514,6 +514,6 @@
 
 /// Runs the timers of the core, and reports the capacity of the upstream servers at an interval.
 pub async fn run_timers(front: Handle) {
-    let (clock, due_changed) = (front.borrow().clock, front.borrow().due_changed.clone());
-    connection::run_timers(front, clock, due_changed, REPORT_INTERVAL).await;
+    let (clock, timers_changed) = (front.borrow().clock, front.borrow().timers_changed.clone());
+    connection::run_timers(front, clock, timers_changed, REPORT_INTERVAL).await;
 }
