--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -119,7 +119,8 @@
 }
 
 /// Reads lines of standard input on a separate thread, because a terminal offers no asynchronous reads, and
-/// returns the channel through which they arrive. The end of input ends the thread but not the router.
+/// returns the channel through which they arrive. The thread shares nothing else with the router, and the end
+/// of input ends the thread but not the router.
 pub fn read_lines() -> mpsc::Receiver<String> {
     let (sender, receiver) = mpsc::channel(MAX_WAITING_LINES);
     std::thread::spawn(move || {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -235,6 +235,7 @@
     }
 }
 
+/// Session description, with characters that JSON escapes and one that is not ASCII.
 pub const BODY: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\"quoted\\\" \u{1} žnidar\r\n";
 
 /// An emulated booking exchange. It reports the state of its trunk group on each new connection and passes
