--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -28,7 +28,7 @@
 /// Rule of the protocol that the router has to keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request that was taken gets exactly one final answer before its deadline.
+    /// Each request that was taken gets exactly one final answer in time.
     LostRequest,
     /// Set-ups are passed on unchanged, and a 200 carries a description that an exchange returned.
     Content,
@@ -50,7 +50,7 @@
     Limits,
     /// The process does not crash and is ready soon after its start.
     Crash,
-    /// Clients that break the protocol are refused or disconnected, and never get a 200.
+    /// Clients that violate the protocol are refused or disconnected, and never get a 200.
     BadClient,
     /// A refusal tells the client in `X-Hold-Off` how long to wait before it tries again.
     HoldOff,
@@ -58,12 +58,12 @@
     Probe,
 }
 
-/// Breach of a rule that was seen during a run.
+/// Violation of a rule that was seen during a run.
 #[derive(Debug, Clone)]
 pub struct Violation {
     /// Rule that was broken.
     pub rule: Rule,
-    /// Time from the start of the run to the breach.
+    /// Time from the start of the run to the violation.
     pub at: Duration,
     /// Details for the report: the call, connection or exchange, and the times or counts seen.
     pub detail: String,
@@ -110,7 +110,7 @@
 pub enum AttemptOutcome {
     /// The exchange answered the call.
     Answered,
-    /// The exchange refused the set-up before it ran, for lack of capacity.
+    /// The set-up never ran, since the exchange was full or the set-up was moot.
     NotRun,
     /// The attempt ran and failed at the exchange.
     Failed,
@@ -151,8 +151,8 @@
     client_connection: u64,
     /// Time when the last byte of the request was written.
     sent_at: Option<Instant>,
-    /// Number of the router process that took the request.
-    process: u32,
+    /// Number of the router process that took the request; processes are counted from 1.
+    router_process: u32,
     cancelled: bool,
     resent: bool,
     answer: Option<(Instant, u16)>,
@@ -163,6 +163,8 @@
     released: bool,
     /// The exchange is gone, so only the router process that set the call up still knows of it.
     is_orphaned: bool,
+    /// No answer is owed any more: the client left, the process was killed, nothing accepted the connection,
+    /// or the loss has been reported already.
     excused: bool,
 }
 
@@ -218,8 +220,8 @@
     /// Time from which the current router process counts as informed that an exchange drains or was removed.
     drain_notified_at: HashMap<u32, Instant>,
     slow_start_set_ups: HashMap<u32, Vec<Instant>>,
-    process: u32,
-    process_ends: HashMap<u32, Instant>,
+    router_process: u32,
+    router_process_ends: HashMap<u32, Instant>,
     kill: Option<Kill>,
     violations: Vec<Violation>,
     timeline: Vec<String>,
@@ -236,8 +238,8 @@
             calls: HashMap::new(),
             drain_notified_at: HashMap::new(),
             slow_start_set_ups: HashMap::new(),
-            process: 0,
-            process_ends: HashMap::new(),
+            router_process: 0,
+            router_process_ends: HashMap::new(),
             kill: None,
             violations: Vec::new(),
             timeline: Vec::new(),
@@ -261,7 +263,7 @@
         &self.timeline
     }
 
-    /// Returns the breaches found so far, oldest first.
+    /// Returns the violations found so far, oldest first.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
@@ -283,7 +285,7 @@
             request,
             client_connection: connection,
             sent_at: None,
-            process: self.process,
+            router_process: self.router_process,
             cancelled: false,
             resent: false,
             answer: None,
@@ -302,7 +304,7 @@
         self.counts.requests += 1;
         if let Some(call) = self.calls.get_mut(id) {
             call.sent_at = Some(Instant::now());
-            call.process = self.process;
+            call.router_process = self.router_process;
         }
     }
 
@@ -507,6 +509,7 @@
         set_ups.push(now);
         let allowed = capacity + 3.0 * capacity.sqrt() + 3.0;
         if set_ups.len() as f64 > allowed {
+            // KNOWN-RED.txt quotes this text.
             let text = format!("s-{exchange:08x}: {} set-ups while it bears {capacity:.1}", set_ups.len());
             self.report_violation(Rule::SlowStart, text);
         }
@@ -552,7 +555,8 @@
     pub fn on_call_orphaned(&mut self, id: &str) {
         let now = Instant::now();
         let Some(call) = self.calls.get_mut(id) else { return };
-        let is_alive = call.process == self.process && !self.process_ends.contains_key(&call.process);
+        let is_alive = call.router_process == self.router_process
+            && !self.router_process_ends.contains_key(&call.router_process);
         call.ended.get_or_insert((now, ReleaseState::Unconfirmed));
         call.is_orphaned = true;
         call.released |= !is_alive;
@@ -585,7 +589,7 @@
     /// Records the start of a router process. It counts as informed of the exchanges in `out_of_service`
     /// alone, whatever the process before it knew.
     pub fn on_process_started(&mut self, out_of_service: impl Iterator<Item = u32>) {
-        self.process += 1;
+        self.router_process += 1;
         self.kill = None;
         let now = Instant::now();
         self.drain_notified_at = out_of_service.map(|exchange| (exchange, now)).collect();
@@ -599,7 +603,7 @@
 
     /// Records that the router process has ended, which resets all open attempts.
     pub fn on_process_ended(&mut self) {
-        self.process_ends.insert(self.process, Instant::now());
+        self.router_process_ends.insert(self.router_process, Instant::now());
         let now = Instant::now();
         for call in self.calls.values_mut() {
             for attempt in call.attempts.iter_mut().filter(|a| a.outcome.is_none()) {
@@ -632,7 +636,7 @@
             let was_answered = matches!(call.answer, Some((_, 200)));
             let Some((at, release)) = call.ended.filter(|_| was_answered && !call.released) else { continue };
             let ended_with_process = |at: Instant| {
-                self.process_ends
+                self.router_process_ends
                     .values()
                     .any(|end| at <= *end && *end <= at + CONFIRMED_RELEASE_TIMEOUT + TIMING_TOLERANCE)
             };
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -136,6 +136,7 @@
         self.interrupt(Mode::Down, length).await;
     }
 
+    /// Enters a mode for the given time and serves again after it.
     async fn interrupt(&self, mode: Mode, length: Duration) {
         self.mode.set(mode);
         tokio::time::sleep(length).await;
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -24,8 +24,8 @@
 
 /// Most connections that the protocol allows to one exchange.
 const MAX_CONNECTIONS: usize = 4;
-/// Time after which connections are counted when there are too many, since the exchange may notice a closed
-/// one later than a new one.
+/// Time after which connections are counted again when there are too many, since the exchange may notice a
+/// closed one later than a new one.
 const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(60);
 /// Interval at which tasks check for faults that have begun or ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -76,7 +76,8 @@
     is_network_cut: Cell<bool>,
     is_delaying_connects: Cell<bool>,
     is_closing_early: Cell<bool>,
-    /// A fault of this exchange is under way; another one that comes meanwhile is skipped.
+    /// A fault of this exchange is under way; another one that comes meanwhile is skipped. Late connects and
+    /// resets happen all the same and don't count.
     pub has_active_fault: Cell<bool>,
     network_restored: Notify,
     reset_signal: watch::Sender<u64>,
@@ -172,8 +173,8 @@
         self.network_restored.notify_waiters();
     }
 
-    /// Cuts the machine off without closing its connections, and starts a new process without state after the
-    /// given time. Returns the start time of that process in Unix milliseconds.
+    /// Cuts the machine off without closing its connections, and starts a new process that has no calls after
+    /// the given time. Returns the start time of that process in Unix milliseconds.
     pub async fn fail_silently(&self, length: Duration) -> u64 {
         self.is_network_cut.set(true);
         sleep(length).await;
@@ -243,7 +244,7 @@
         loop {
             let is_holding = self.is_network_cut.get() || self.is_delaying_connects.get();
             was_holding |= is_holding;
-            let Some(open) = &listener else {
+            let Some(bound_listener) = &listener else {
                 if !self.is_stopped.get() {
                     listener = bind_listener(self.address).ok();
                 }
@@ -254,7 +255,9 @@
                 (listener, fillers) = (None, Vec::new());
             } else if is_holding {
                 self.fill_backlog(&mut fillers).await;
-            } else if let Ok(Ok((stream, peer))) = tokio::time::timeout(POLL_INTERVAL, open.accept()).await {
+            } else if let Ok(Ok((stream, peer))) =
+                tokio::time::timeout(POLL_INTERVAL, bound_listener.accept()).await
+            {
                 // Connections of the router that waited in the backlog while none was accepted are reset.
                 let is_filler = fillers.iter().any(|f| f.local_addr().is_ok_and(|a| a == peer));
                 if was_holding && !is_filler {
@@ -302,9 +305,9 @@
             return;
         }
         sleep(CLOSE_DETECTION_DELAY).await;
-        let open = self.connections.borrow().len();
-        if open > MAX_CONNECTIONS {
-            let text = format!("{open} connections to the exchange at node {}", self.node);
+        let count = self.connections.borrow().len();
+        if count > MAX_CONNECTIONS {
+            let text = format!("{count} connections to the exchange at node {}", self.node);
             self.checker.borrow_mut().report_violation(Rule::Connections, text);
         }
     }
@@ -340,13 +343,13 @@
 
     async fn read_lines(&self, reader: &mut OwnedReadHalf, number: u64) {
         let (mut bytes, mut input) = (Vec::new(), vec![0; 8192]);
-        let mut held: Vec<Value> = Vec::new();
+        let mut held_messages: Vec<Value> = Vec::new();
         let mut first_byte_at = Instant::now();
         loop {
             let read = tokio::select! {
                 read = reader.read(&mut input) => read,
                 () = self.network_restored.notified() => {
-                    held.drain(..).for_each(|message| self.handle_message(&message, number));
+                    held_messages.drain(..).for_each(|message| self.handle_message(&message, number));
                     continue;
                 }
             };
@@ -360,12 +363,12 @@
                 let Ok(message) = serde_json::from_slice::<Value>(&line) else {
                     self.checker
                         .borrow_mut()
-                        .report_violation(Rule::Content, format!("no JSON line: {line:?}"));
+                        .report_violation(Rule::Content, format!("line is not JSON: {line:?}"));
                     continue;
                 };
                 self.check_message(&message, first_byte_at, number);
                 if self.is_network_cut.get() {
-                    held.push(message);
+                    held_messages.push(message);
                 } else {
                     self.handle_message(&message, number);
                 }
@@ -512,7 +515,7 @@
     }
 
     async fn respond(self: Rc<Self>, call_id: String, number: u64, draw: f64) {
-        let ended = |rc: u32, note: &str| {
+        let finish_line = |rc: u32, note: &str| {
             json!({"verb": "FINISH", "tag": call_id,
                 "opts": {"note": note, "load": "spare:400;total:500;lat_ms:3"}, "rc": rc})
             .to_string()
@@ -522,11 +525,11 @@
             self.send(number, Outgoing::Line(line, CallChange::AttemptEnded(call_id.clone(), outcome)));
         };
         match draw {
-            draw if draw < 0.02 => refuse(ended(34, "group_full"), AttemptOutcome::NotRun),
-            draw if draw < 0.03 => refuse(ended(34, "processor_full"), AttemptOutcome::NotRun),
-            draw if draw < 0.04 => refuse(ended(17, "user_busy"), AttemptOutcome::Failed),
-            draw if draw < 0.05 => refuse(ended(47, ""), AttemptOutcome::Failed),
-            draw if draw < 0.06 => refuse(ended(41, ""), AttemptOutcome::Reset),
+            draw if draw < 0.02 => refuse(finish_line(34, "group_full"), AttemptOutcome::NotRun),
+            draw if draw < 0.03 => refuse(finish_line(34, "processor_full"), AttemptOutcome::NotRun),
+            draw if draw < 0.04 => refuse(finish_line(17, "user_busy"), AttemptOutcome::Failed),
+            draw if draw < 0.05 => refuse(finish_line(47, ""), AttemptOutcome::Failed),
+            draw if draw < 0.06 => refuse(finish_line(41, ""), AttemptOutcome::Reset),
             draw if draw < 0.06 + self.scenario.faulty_answer_share => {
                 self.send_faulty_answer(call_id, number).await
             }
@@ -543,10 +546,10 @@
         if let Some(state) = self.calls.borrow_mut().get_mut(&call_id) {
             state.is_established = true;
         }
-        let hold = Duration::from_millis(self.rng.borrow_mut().u64(50..2500));
+        let holding_time = Duration::from_millis(self.rng.borrow_mut().u64(50..2500));
         let process_number = self.process_number.get();
         tokio::task::spawn_local(async move {
-            sleep(hold).await;
+            sleep(holding_time).await;
             self.wait_while_hung().await;
             if self.process_number.get() == process_number {
                 self.release_call(&call_id);
@@ -572,8 +575,8 @@
         self.unconfirmed_releases.borrow_mut().push(call_id.to_owned());
         let line = || Outgoing::Line(release_line(call_id), CallChange::Unchanged);
         if !self.send(state.connection, line()) {
-            let other = self.connections.borrow().keys().next_back().copied();
-            if let Some(number) = other {
+            let newest = self.connections.borrow().keys().next_back().copied();
+            if let Some(number) = newest {
                 self.send(number, line());
             }
         }
@@ -581,10 +584,10 @@
 
     /// Sends an answer that is malformed, truncated, duplicated or late, or sends none.
     async fn send_faulty_answer(self: Rc<Self>, call_id: String, number: u64) {
-        let kind = self.rng.borrow_mut().u8(..9);
+        let fault = self.rng.borrow_mut().u8(..9);
         let line = self.started_line(&call_id);
         let first_half = line.as_bytes()[..line.len() / 2].to_vec();
-        match kind {
+        match fault {
             0 => drop(self.send(number, Outgoing::Raw(b"\x01\x02%&{\n".to_vec()))),
             1 => drop(self.send(number, Outgoing::Raw(first_half))),
             2 => {
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -25,7 +25,7 @@
 
 /// Longest time from a start of the router until it passes a health check.
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time from the longest deadline, counted from SIGTERM, to the SIGKILL.
+/// Time that is added to the longest deadline to get the time from SIGTERM to SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Upper bound of the longest deadline when the time of the SIGKILL is computed.
 const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
@@ -39,7 +39,7 @@
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
-    /// Breaches of the rules, oldest first.
+    /// Violations of the rules, oldest first.
     pub violations: Vec<Violation>,
     /// Faults, signals and other events with their times, oldest first.
     pub timeline: Vec<String>,
@@ -319,7 +319,7 @@
                         .borrow_mut()
                         .report_violation(Rule::Crash, format!("the router exited with {status}"));
                 }
-                // Clients see their connections end before the process counts as ended.
+                // Lets the clients see their connections close before the process counts as ended.
                 sleep(POLL_INTERVAL).await;
                 self.checker.borrow_mut().on_process_ended();
                 return true;
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -113,7 +113,7 @@
     pub has_bad_clients: bool,
     /// Share of requests whose client gives up before the deadline.
     pub abandon_share: f64,
-    /// Clients repeat a refused request at once, whatever `X-Hold-Off` says.
+    /// Clients redial at once after a refusal, whatever `X-Hold-Off` says.
     pub ignores_hold_off: bool,
     /// Time during which requests are sent and faults happen.
     pub active_time: Duration,
