--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -152,7 +152,7 @@
     pub exchanges: Vec<ListedExchange>,
 }
 
-/// Configuration of the ENUM front (key `enum`).
+/// Configuration of the ENUM front end (key `enum`).
 #[derive(Debug, Clone)]
 pub struct EnumConfig {
     /// Address on which resolvers' queries are received; `None` if numbers are looked up for calls only.
@@ -173,7 +173,7 @@
     pub window_per_upstream: usize,
     /// Node that serves each host of a SIP URI; hosts are in lower case.
     pub routes: HashMap<String, NodeNumber>,
-    /// Settings of the front's own decision module.
+    /// Settings of the front end's own decision module.
     pub settings: Settings,
 }
 
@@ -219,8 +219,8 @@
     pub gauge_names: Vec<String>,
     /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// ENUM front; `None` if it is not configured.
-    pub enum_front: Option<EnumConfig>,
+    /// ENUM front end; `None` if it is not configured.
+    pub enum_front_end: Option<EnumConfig>,
     /// Virtual router; `None` if it is not configured.
     pub vrrp: Option<VrrpConfig>,
     /// Whether commands are read from standard input.
@@ -282,7 +282,7 @@
                 connect_timeout
             },
             settings: read_settings(&settings)?,
-            enum_front: read_enum(&root.get("enum"))?,
+            enum_front_end: read_enum(&root.get("enum"))?,
             vrrp: read_vrrp(&root.get("vrrp"))?,
             has_console: root.get("console").boolean(false)?,
         })
@@ -292,7 +292,8 @@
 impl Config {
     /// Returns the keys that differ in `new` and take effect only after a restart.
     pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
-        let enum_front = |c: &Self| c.enum_front.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
+        let enum_front_end =
+            |c: &Self| c.enum_front_end.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
         let virtual_router =
             |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.router.vrid, v.router.addresses.clone()));
         let settings = |c: &Self| (c.class_names.clone(), c.gauge_names.clone(), format!("{:?}", c.settings));
@@ -302,7 +303,7 @@
             ("peer_listen", self.peer_listen != new.peer_listen),
             ("settings", settings(self) != settings(new)),
             ("console", self.has_console != new.has_console),
-            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front(self) != enum_front(new)),
+            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front_end(self) != enum_front_end(new)),
             ("vrrp.listen/vrid/addresses", virtual_router(self) != virtual_router(new)),
         ];
         changed.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -30,10 +30,10 @@
 pub struct Console {
     /// Name of the router.
     pub name: String,
-    /// The call front.
+    /// The call front end.
     pub platform: platform::Handle,
-    /// The ENUM front, if one is configured.
-    pub enum_front: Option<enumeration::Handle>,
+    /// The ENUM front end, if one is configured.
+    pub enum_front_end: Option<enumeration::Handle>,
     /// The virtual router, if one is configured.
     pub virtual_router: Option<Rc<VirtualRouter>>,
 }
@@ -82,8 +82,8 @@
         let state = if platform.is_draining() { "draining" } else { "serving" };
         let _ = writeln!(text, "{} {state}", self.name);
         self.calls(text);
-        if let Some(front) = &self.enum_front {
-            let _ = writeln!(text, "look-ups in hand {}", front.borrow().pending_counts().0);
+        if let Some(front_end) = &self.enum_front_end {
+            let _ = writeln!(text, "look-ups in hand {}", front_end.borrow().pending_counts().0);
         }
         if let Some(router) = &self.virtual_router {
             let _ = writeln!(text, "vrrp {:?}", router.state());
@@ -108,11 +108,11 @@
     }
 
     fn look_ups(&self, text: &mut String) {
-        let Some(front) = &self.enum_front else { return text.push_str("look-ups off\n") };
-        let front = front.borrow();
-        let (total, for_calls) = front.pending_counts();
+        let Some(front_end) = &self.enum_front_end else { return text.push_str("look-ups off\n") };
+        let front_end = front_end.borrow();
+        let (total, for_calls) = front_end.pending_counts();
         let _ = writeln!(text, "look-ups in hand {total} of them for calls {for_calls}");
-        for (id, pending) in front.upstreams() {
+        for (id, pending) in front_end.upstreams() {
             let _ = writeln!(text, "upstream {} queries out {pending}", id.0);
         }
     }
--- a/src/lifecycle/run.rs
+++ b/src/lifecycle/run.rs
@@ -15,7 +15,7 @@
 use super::config::Config;
 use super::console::{self, Console};
 use crate::net::connection::{self, Clock};
-use crate::net::enumeration::{self, EnumFront};
+use crate::net::enumeration::{self, EnumFrontEnd};
 use crate::net::platform::{Handle, Platform};
 use crate::net::sockets;
 use crate::net::standby::{self, VirtualRouter};
@@ -58,17 +58,17 @@
         tokio::task::spawn_local(sockets::receive_peer_datagrams(platform.clone(), Rc::new(socket)));
     }
     let is_active = Rc::new(Cell::new(true));
-    let mut enum_front = None;
-    if let Some(enum_config) = &config.enum_front {
-        let front = EnumFront::new(enum_config, config.seed, log.clone(), clock, is_active.clone())?;
-        tokio::task::spawn_local(enumeration::run_timers(front.clone()));
+    let mut enum_front_end = None;
+    if let Some(enum_config) = &config.enum_front_end {
+        let front_end = EnumFrontEnd::new(enum_config, config.seed, log.clone(), clock, is_active.clone())?;
+        tokio::task::spawn_local(enumeration::run_timers(front_end.clone()));
         if let Some(address) = enum_config.listen {
             let socket = bind_udp("enum.listen", address).await?;
             info!(log, "answering look-ups"; "listen" => %socket.local_addr()?);
-            tokio::task::spawn_local(enumeration::serve_queries(front.clone(), socket));
+            tokio::task::spawn_local(enumeration::serve_queries(front_end.clone(), socket));
         }
-        platform.borrow_mut().set_look_up(front.clone(), enum_config.look_up_share);
-        enum_front = Some(front);
+        platform.borrow_mut().set_look_up(front_end.clone(), enum_config.look_up_share);
+        enum_front_end = Some(front_end);
     }
     let mut virtual_router = None;
     if let Some(vrrp_config) = config.vrrp.clone() {
@@ -82,9 +82,9 @@
     }
     info!(log, "started"; "name" => &config.name, "listen" => %listener.local_addr()?);
     let accept_task = AcceptTask::start(platform.clone(), listener);
-    let console = Console { name: config.name.clone(), platform, enum_front, virtual_router };
-    let (platform, enum_front, virtual_router) =
-        (console.platform.clone(), console.enum_front.clone(), console.virtual_router.clone());
+    let console = Console { name: config.name.clone(), platform, enum_front_end, virtual_router };
+    let (platform, enum_front_end, virtual_router) =
+        (console.platform.clone(), console.enum_front_end.clone(), console.virtual_router.clone());
     let has_console = config.has_console;
     let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
     tokio::task::spawn_local(reload_on_sighup(sighup, path, config, console.clone(), log.clone()));
@@ -112,21 +112,21 @@
     info!(log, "listener closed"; "unanswered" => platform.borrow().unanswered());
     let is_done = || {
         platform.borrow_mut().close_idle_clients();
-        let look_ups = enum_front.as_ref().map_or(0, |f| f.borrow().pending_counts().0);
+        let look_ups = enum_front_end.as_ref().map_or(0, |f| f.borrow().pending_counts().0);
         !platform.borrow().has_clients() && look_ups == 0
     };
     while !is_done() && stopping_since.elapsed() < schedule.give_up_after {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
     info!(log, "giving up open requests"; "unanswered" => platform.borrow().unanswered());
-    if let Some(front) = &enum_front {
-        front.borrow_mut().give_up_all();
+    if let Some(front_end) = &enum_front_end {
+        front_end.borrow_mut().give_up_all();
     }
     platform.borrow_mut().stop();
     while platform.borrow().has_clients() && stopping_since.elapsed() < schedule.exit_after {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     }
-    // Lets other tasks write the answers of the ENUM front and the releases at exchanges.
+    // Lets other tasks write the answers of the ENUM front end and the releases at exchanges.
     tokio::time::sleep(STOP_CHECK_INTERVAL).await;
     for line in platform.borrow().metrics.encode().lines().filter(|line| !line.starts_with('#')) {
         info!(log, "counter at stop"; "series" => line);
@@ -159,9 +159,9 @@
             warn!(log, "changed, but taken up at the next start only"; "keys" => deferred.join(" "));
         }
         parts.platform.borrow_mut().reload(&new);
-        if let (Some(front), Some(enum_config)) = (&parts.enum_front, &new.enum_front) {
-            front.borrow_mut().reload(enum_config);
-            parts.platform.borrow_mut().set_look_up(front.clone(), enum_config.look_up_share);
+        if let (Some(front_end), Some(enum_config)) = (&parts.enum_front_end, &new.enum_front_end) {
+            front_end.borrow_mut().reload(enum_config);
+            parts.platform.borrow_mut().set_look_up(front_end.clone(), enum_config.look_up_share);
         }
         if let (Some(router), Some(vrrp_config)) = (&parts.virtual_router, &new.vrrp) {
             router.reload(vrrp_config);
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! TCP connections with a buffered writer, and the timers of the fronts.
+//! TCP connections with a buffered writer, and the timers of the front ends.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -419,10 +419,10 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Write buffer shared between the connection's task and its front.
+/// Write buffer shared between the connection's task and its front end.
 pub type SharedWriteBuffer = Rc<WriteBuffer>;
 
-/// A front with work that is due at certain times.
+/// A front end with work that is due at certain times.
 pub trait TimerDriven {
     /// Returns when [`TimerDriven::run_due`] has to be called next.
     fn next_due(&self) -> Option<Duration>;
@@ -436,26 +436,26 @@
 ///
 /// `rescheduled` is notified whenever work may have become due earlier than before.
 pub async fn run_timers<T: TimerDriven>(
-    front: Rc<RefCell<T>>,
+    front_end: Rc<RefCell<T>>,
     clock: Clock,
     rescheduled: Rc<Notify>,
     sweep_interval: Duration,
 ) {
     let mut next_sweep = clock.now();
     loop {
-        let next = front.borrow().next_due().map_or(next_sweep, |at| at.min(next_sweep));
+        let next = front_end.borrow().next_due().map_or(next_sweep, |at| at.min(next_sweep));
         tokio::select! {
             () = tokio::time::sleep_until(clock.instant_at(next)) => {}
             () = rescheduled.notified() => {}
         }
-        let mut front = front.borrow_mut();
+        let mut front_end = front_end.borrow_mut();
         let now = clock.now();
-        if front.next_due().is_some_and(|at| at <= now) {
-            front.run_due(now);
+        if front_end.next_due().is_some_and(|at| at <= now) {
+            front_end.run_due(now);
         }
         if now >= next_sweep {
             next_sweep = now + sweep_interval;
-            front.sweep(now);
+            front_end.sweep(now);
         }
     }
 }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -1,5 +1,5 @@
-//! The ENUM front (RFC 6116): answers NAPTR queries of resolvers, and looks up numbers of calls that have no
-//! destination.
+//! The ENUM front end (RFC 6116): answers NAPTR queries of resolvers, and looks up numbers of calls that have
+//! no destination.
 //!
 //! Both kinds of look-up are requests to a separate core, whose exchanges are the upstream DNS servers and
 //! whose decision module treats them as pools. Each query to an upstream server is an attempt.
@@ -75,10 +75,10 @@
     queries: HashMap<CallId, AbortHandle>,
 }
 
-/// The state of the ENUM front.
+/// The state of the ENUM front end.
 #[derive(Debug)]
-pub struct EnumFront {
-    self_ref: Weak<RefCell<EnumFront>>,
+pub struct EnumFrontEnd {
+    self_ref: Weak<RefCell<EnumFrontEnd>>,
     /// Core that schedules the look-ups.
     pub core: Core,
     clock: Clock,
@@ -101,11 +101,11 @@
     timers_changed: Rc<Notify>,
 }
 
-/// Shared handle to the front. Tasks must not hold a borrow across an await.
-pub type Handle = Rc<RefCell<EnumFront>>;
+/// Shared handle to the front end. Tasks must not hold a borrow across an await.
+pub type Handle = Rc<RefCell<EnumFrontEnd>>;
 
-impl EnumFront {
-    /// Creates the front and its core.
+impl EnumFrontEnd {
+    /// Creates the front end and its core.
     ///
     /// # Errors
     /// If the decision module rejects the settings.
@@ -119,7 +119,7 @@
         let now = clock.now();
         let core = Core::new(Controller::new(config.settings.clone(), seed, now)?, Exchanges::default(), now);
         Ok(Rc::new_cyclic(|self_ref| {
-            let mut front = Self {
+            let mut front_end = Self {
                 self_ref: self_ref.clone(),
                 core,
                 clock,
@@ -135,8 +135,8 @@
                 last_number: 0,
                 timers_changed: Rc::default(),
             };
-            front.apply_upstreams();
-            RefCell::new(front)
+            front_end.apply_upstreams();
+            RefCell::new(front_end)
         }))
     }
 
@@ -320,7 +320,7 @@
 
     /// Starts a task that sends one query to an upstream server and waits for the reply until the time-out.
     fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, remaining: Duration) {
-        let (Some(front), Some(name)) = (self.self_ref.upgrade(), self.names.get(call).cloned()) else {
+        let (Some(front_end), Some(name)) = (self.self_ref.upgrade(), self.names.get(call).cloned()) else {
             return;
         };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
@@ -328,7 +328,7 @@
         let (exchange, id) = (exchange.clone(), call.clone());
         let task = tokio::task::spawn_local(async move {
             let reply = tokio::time::timeout(timeout, query_upstream(address, &name)).await;
-            front.borrow_mut().on_reply(&exchange, &id, reply.unwrap_or(Err(QueryError::TimedOut)));
+            front_end.borrow_mut().on_reply(&exchange, &id, reply.unwrap_or(Err(QueryError::TimedOut)));
         });
         upstream.queries.insert(call.clone(), task.abort_handle());
     }
@@ -443,29 +443,29 @@
 // ---- tasks -------------------------------------------------------------------------------------
 
 /// Resolves the number of a call within a time limit, following non-terminal records.
-pub async fn resolve(front: Handle, number: String, time_limit: Duration) -> Resolution {
+pub async fn resolve(front_end: Handle, number: String, time_limit: Duration) -> Resolution {
     let search = async {
-        let zone = front.borrow().config.zone.clone();
+        let zone = front_end.borrow().config.zone.clone();
         let Some(mut name) = dns::name_for_number(&number, &zone) else { return Resolution::NotFound };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
         let (e164_number, deadline) = (format!("+{digits}"), tokio::time::Instant::now() + time_limit);
         for _ in 0..MAX_LOOK_UPS_PER_CALL {
             let (sender, receiver) = oneshot::channel();
             {
-                let mut front = front.borrow_mut();
-                if front.requesters.len() >= front.config.max_look_ups {
+                let mut front_end = front_end.borrow_mut();
+                if front_end.requesters.len() >= front_end.config.max_look_ups {
                     return Resolution::Unknown;
                 }
                 let remaining = deadline.saturating_duration_since(tokio::time::Instant::now());
-                front.begin(Requester::Call(sender), CALL_CLASS, name.clone(), remaining);
+                front_end.begin(Requester::Call(sender), CALL_CLASS, name.clone(), remaining);
             }
             let Ok(Some(result)) = receiver.await else { return Resolution::Unknown };
             let targets = dns::targets(&result.records, &e164_number);
             // Hosts that are not served here are skipped. A name that refers to itself ends the search.
-            let front = front.borrow();
+            let front_end = front_end.borrow();
             let next = targets.iter().find_map(|target| match target {
                 Target::Name(next_name) => Some(Err(next_name.clone())),
-                uri => front.node_for(uri).map(Ok),
+                uri => front_end.node_for(uri).map(Ok),
             });
             match next {
                 Some(Ok(node)) => return Resolution::RouteTo(node),
@@ -479,15 +479,15 @@
 }
 
 /// Receives resolvers' queries on a socket.
-pub async fn serve_queries(front: Handle, socket: UdpSocket) {
+pub async fn serve_queries(front_end: Handle, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    front.borrow_mut().socket = Some(socket.clone());
+    front_end.borrow_mut().socket = Some(socket.clone());
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let mut received = 0;
     loop {
         match socket.recv_from(&mut buffer).await {
-            Ok((length, from)) => front.borrow_mut().on_datagram(from, &buffer[..length]),
-            Err(e) => warn!(front.borrow().log, "query not read"; "error" => %e),
+            Ok((length, from)) => front_end.borrow_mut().on_datagram(from, &buffer[..length]),
+            Err(e) => warn!(front_end.borrow().log, "query not read"; "error" => %e),
         }
         received += 1;
         if received % QUERIES_PER_TURN == 0 {
@@ -496,7 +496,7 @@
     }
 }
 
-impl TimerDriven for EnumFront {
+impl TimerDriven for EnumFrontEnd {
     fn next_due(&self) -> Option<Duration> {
         self.core.next_due()
     }
@@ -513,7 +513,7 @@
 }
 
 /// Runs the timers of the core, and reports the capacity of the upstream servers at an interval.
-pub async fn run_timers(front: Handle) {
-    let (clock, timers_changed) = (front.borrow().clock, front.borrow().timers_changed.clone());
-    connection::run_timers(front, clock, timers_changed, REPORT_INTERVAL).await;
+pub async fn run_timers(front_end: Handle) {
+    let (clock, timers_changed) = (front_end.borrow().clock, front_end.borrow().timers_changed.clone());
+    connection::run_timers(front_end, clock, timers_changed, REPORT_INTERVAL).await;
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, connections and timers, and the fronts that connect the protocols to the core.
+//! Sockets, connections and timers, and the front ends that connect the protocols to the core.
 
 pub mod client_connections;
 pub mod connection;
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -1,4 +1,4 @@
-//! The client side of the call front: handles SIP requests and the connections on which they arrive.
+//! The client side of the call front end: handles SIP requests and the connections on which they arrive.
 
 use super::*;
 
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Returns the destination and the call that a set-up offers, or `None` if a value is missing, not a number
-    /// or out of range. The destination may be missing if numbers are looked up.
+    /// Returns the destination and the call that a set-up offers, or `None` if a value is missing, not a
+    /// number or out of range. The destination may be missing if numbers are looked up.
     pub(super) fn parse_offered_call(
         &self,
         id: &CallId,
@@ -173,14 +173,15 @@
 
     /// Looks up the destination of a call that has only a number, then routes it with the time that remains.
     pub(super) fn resolve_destination(&mut self, now: Duration, mut request: Request) {
-        let (Some((front, share)), Some(platform)) = (self.look_up.clone(), self.weak_self.upgrade()) else {
+        let (Some((front_end, share)), Some(platform)) = (self.look_up.clone(), self.weak_self.upgrade())
+        else {
             return;
         };
         let deadline = now + request.offered.remaining;
         let time_limit = request.offered.remaining.mul_f64(share);
         tokio::task::spawn_local(async move {
             let resolved =
-                enumeration::resolve(front, request.offered.called_number.to_string(), time_limit).await;
+                enumeration::resolve(front_end, request.offered.called_number.to_string(), time_limit).await;
             let mut platform = platform.borrow_mut();
             let id = request.offered.call.clone();
             if !platform.invites.contains_key(&id) {
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -1,4 +1,4 @@
-//! The exchange side of the call front: handles the messages of exchanges and the connections to them.
+//! The exchange side of the call front end: handles the messages of exchanges and the connections to them.
 
 use super::*;
 
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The call front: clients speak SIP, exchanges JSON lines, and the coordinator sends the exchange list.
+//! The call front end: clients speak SIP, exchanges JSON lines, and the coordinator sends the exchange list.
 //!
-//! The front turns messages into requests and replies for the core, and the core's effects into messages.
+//! The front end turns messages into requests and replies for the core, and the core's effects into messages.
 
 mod clients;
 mod effects;
@@ -94,7 +94,7 @@
     }
 }
 
-/// The call front with its core, its connections and its open requests.
+/// The call front end with its core, its connections and its open requests.
 #[derive(Debug)]
 pub struct Platform {
     weak_self: Weak<RefCell<Platform>>,
@@ -124,7 +124,7 @@
     server_budget: Rc<WriteBudget>,
     /// Hold-off in milliseconds for callers that are refused without a hold-off from the decision module.
     hold_off: Option<u128>,
-    /// ENUM front that resolves numbers, if configured, and the share of a call's time that a look-up may
+    /// ENUM front end that resolves numbers, if configured, and the share of a call's time that a look-up may
     /// take.
     look_up: Option<(enumeration::Handle, f64)>,
     started_at: Duration,
@@ -140,11 +140,11 @@
     pub(in crate::net) timers_changed: Rc<Notify>,
 }
 
-/// Shared handle to the front. All tasks run on one thread, and none keeps a borrow across an await.
+/// Shared handle to the front end. All tasks run on one thread, and none keeps a borrow across an await.
 pub type Handle = Rc<RefCell<Platform>>;
 
 impl Platform {
-    /// Creates the front and its core.
+    /// Creates the front end and its core.
     ///
     /// # Errors
     /// Returns an error if the decision module rejects the settings.
@@ -233,10 +233,10 @@
         self.is_draining
     }
 
-    /// Sets the ENUM front that resolves the numbers of calls without a destination, and the share of a
+    /// Sets the ENUM front end that resolves the numbers of calls without a destination, and the share of a
     /// call's time that a look-up may take.
-    pub fn set_look_up(&mut self, front: enumeration::Handle, share: f64) {
-        self.look_up = Some((front, share));
+    pub fn set_look_up(&mut self, front_end: enumeration::Handle, share: f64) {
+        self.look_up = Some((front_end, share));
     }
 
     /// Returns the number of set-ups without a final answer, including those whose number is being looked up.
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,4 +1,5 @@
-//! Tasks of the call front. Each reads and writes on one socket and leaves all decisions to the front.
+//! Tasks of the call front end. Each reads and writes on one socket and leaves all decisions to the front
+//! end.
 
 use std::cell::Cell;
 use std::io;
@@ -25,7 +26,7 @@
 const MIN_COORDINATOR_CONNECT_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause after a failed accept, for instance because no descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
-/// Interval of the front's periodic checks.
+/// Interval of the front end's periodic checks.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Opens a connection to an exchange, and reads and writes on it until it ends.
@@ -70,7 +71,7 @@
     }
 }
 
-/// Runs the timers and the periodic checks of the front.
+/// Runs the timers and the periodic checks of the front end.
 pub async fn run_timers(platform: Handle) {
     let (clock, rescheduled) = (platform.borrow().clock, platform.borrow().timers_changed.clone());
     connection::run_timers(platform, clock, rescheduled, SWEEP_INTERVAL).await;
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -475,7 +475,7 @@
 fn the_shipped_configuration_files_are_valid(#[case] text: &str, #[case] appliance: bool) {
     let config = quartzspindle::lifecycle::config::Config::parse(text).unwrap();
     assert_eq!(config.known_updates[0].exchanges.len(), 1);
-    let configured = (config.enum_front.is_some(), config.vrrp.is_some(), config.has_console);
+    let configured = (config.enum_front_end.is_some(), config.vrrp.is_some(), config.has_console);
     assert_eq!(configured, (appliance, appliance, appliance));
 }
 
--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -1,5 +1,5 @@
-//! Tests of the ENUM front and of VRRP: the router runs as a process between resolvers, clients and emulated
-//! DNS servers. The DNS codec and the VRRP state machine are also tested on their own.
+//! Tests of the ENUM front end and of VRRP: the router runs as a process between resolvers, clients and
+//! emulated DNS servers. The DNS codec and the VRRP state machine are also tested on their own.
 
 mod harness;
 
