--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -572,7 +572,7 @@
         }
     }
 
-    // ---- membership and processes -----------------------------------------------------------------
+    // ---- directory and processes ------------------------------------------------------------------
 
     /// Records that the router counts as informed of an exchange's draining or removal from `at` on. An
     /// earlier time that was recorded before stays.
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -140,7 +140,7 @@
         Ok(exchange)
     }
 
-    /// Returns the exchange's id in the membership.
+    /// Returns the exchange's id in the directory.
     pub fn id(&self) -> u32 {
         self.id.get()
     }
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -143,11 +143,11 @@
     pub address: SocketAddr,
 }
 
-/// An update of the list of exchanges.
+/// An update of the directory.
 #[derive(Debug, Clone)]
-pub struct ListUpdate {
-    /// Whether the update holds the full list, rather than changes to it.
-    pub is_full_list: bool,
+pub struct DirectoryUpdate {
+    /// Whether the update holds the full directory, rather than changes to it.
+    pub is_full: bool,
     /// The exchanges that the update reports.
     pub exchanges: Vec<ListedExchange>,
 }
@@ -209,8 +209,8 @@
     pub coordinator: Option<SocketAddr>,
     /// Number of the last event contained in `known_updates`.
     pub last_known_event: u64,
-    /// Updates of the list of exchanges that are known at the start.
-    pub known_updates: Vec<ListUpdate>,
+    /// Updates of the directory that are known at the start.
+    pub known_updates: Vec<DirectoryUpdate>,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, indexed by class number.
@@ -449,11 +449,15 @@
     }))
 }
 
-fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListUpdate> {
-    let list = event.get("endpoints");
-    let exchanges =
-        list.get("hosts").items()?.iter().map(|h| read_exchange(h, zones)).collect::<ConfigResult<_>>()?;
-    Ok(ListUpdate { is_full_list: list.get("whole").boolean(false)?, exchanges })
+fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<DirectoryUpdate> {
+    let endpoints = event.get("endpoints");
+    let exchanges = endpoints
+        .get("hosts")
+        .items()?
+        .iter()
+        .map(|h| read_exchange(h, zones))
+        .collect::<ConfigResult<_>>()?;
+    Ok(DirectoryUpdate { is_full: endpoints.get("whole").boolean(false)?, exchanges })
 }
 
 fn read_exchange(host: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListedExchange> {
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The call front end: clients speak SIP, exchanges JSON lines, and the coordinator sends the exchange list.
+//! The call front end: clients speak SIP, exchanges JSON lines, and the coordinator sends the directory.
 //!
 //! The front end turns messages into requests and replies for the core, and the core's effects into messages.
 
@@ -23,7 +23,7 @@
 use crate::call::core::{Core, Effect, Reply, Request, CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
-use crate::lifecycle::config::{Config, ListUpdate, ListedExchange};
+use crate::lifecycle::config::{Config, DirectoryUpdate, ListedExchange};
 use crate::metrics::Metrics;
 use crate::net::connection::{
     self, Clock, CloseReason, SharedWriteBuffer, TimerDriven, WriteBudget, WriteBuffer,
@@ -195,18 +195,17 @@
         Ok(platform)
     }
 
-    /// Applies the list updates of the configuration file.
+    /// Applies the directory updates of the configuration file.
     fn apply_known_updates(&mut self, config: &Config) {
         for (index, update) in config.known_updates.iter().enumerate() {
-            let kind =
-                if index == 0 || update.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
+            let kind = if index == 0 || update.is_full { UpdateKind::Stored } else { UpdateKind::Changes };
             self.apply_update(kind, update);
         }
     }
 
     /// Applies the parts of a new configuration that may change while calls are served: the coordinator, the
-    /// other routers and the limits. With a coordinator, the exchange list is kept, since the coordinator is
-    /// asked for the events after the last one received. Without one, the list of the file applies.
+    /// other routers and the limits. With a coordinator, the directory is kept, since the coordinator is
+    /// asked for the events after the last one received. Without one, the directory of the file applies.
     pub fn reload(&mut self, config: &Config) {
         (self.peers, self.peers_all) = (config.peers.clone(), config.peers_all);
         self.clients.limit = max_client_connections(config);
@@ -294,10 +293,10 @@
         !self.is_draining && (has_tried_all || self.clock.now() > self.started_at + 2 * self.connect_timeout)
     }
 
-    // ---- exchange list -------------------------------------------------------------------------
+    // ---- directory -----------------------------------------------------------------------------
 
-    /// Applies an update of the exchange list to the connection pools and the core.
-    fn apply_update(&mut self, kind: UpdateKind, update: &ListUpdate) {
+    /// Applies an update of the directory to the connection pools and the core.
+    fn apply_update(&mut self, kind: UpdateKind, update: &DirectoryUpdate) {
         let now = self.clock.now();
         let listed = &update.exchanges;
         if kind != UpdateKind::Changes {
@@ -348,11 +347,11 @@
         }
     }
 
-    /// Applies the list update in a frame, unless its event is no newer than the last one received.
+    /// Applies the directory update in a frame, unless its event is no newer than the last one received.
     pub(in crate::net) fn on_coordinator_frame(&mut self, frame: coordinator::Frame) {
-        let Some(list) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
+        let Some(update) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
         self.last_event = frame.event_number;
-        let listed = list.records.into_iter().map(|r| ListedExchange {
+        let listed = update.records.into_iter().map(|r| ListedExchange {
             entry: DirectoryEntry {
                 exchange: ExchangeId(r.id.into()),
                 node: NodeNumber(u32::from(r.node)),
@@ -366,8 +365,8 @@
             },
             address: r.address,
         });
-        let update = ListUpdate { is_full_list: list.is_full_list, exchanges: listed.collect() };
-        self.apply_update(if list.is_full_list { UpdateKind::Full } else { UpdateKind::Changes }, &update);
+        let update = DirectoryUpdate { is_full: update.is_full, exchanges: listed.collect() };
+        self.apply_update(if update.is_full { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -86,7 +86,7 @@
 /// Token of the periodic timer; call timers use the tokens from 1 on.
 const CYCLE_TIMER: TimerToken = TimerToken(0);
 
-/// State of an exchange that the directory lists.
+/// State of an exchange in the directory.
 #[derive(Debug)]
 struct Exchange {
     node: NodeNumber,
--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -1,4 +1,5 @@
-//! Decoder for the coordinator's frames: numbered updates of the list of booking exchanges.
+//! Decoder for the coordinator's frames: numbered updates of the directory, that is, of the
+//! exchanges with their states and addresses.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -29,15 +30,15 @@
 pub struct Frame {
     /// Number of the event.
     pub event_number: u64,
-    /// Change of the list; `None` in a heartbeat frame.
-    pub update: Option<ListUpdate>,
+    /// Update of the directory; `None` in a heartbeat frame.
+    pub update: Option<DirectoryUpdate>,
 }
 
-/// An update of the list of exchanges.
+/// An update of the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListUpdate {
-    /// Whether the records are the full list, rather than changes to it.
-    pub is_full_list: bool,
+pub struct DirectoryUpdate {
+    /// Whether the records are the full directory, rather than changes to it.
+    pub is_full: bool,
     /// The exchanges that the update reports.
     pub records: Vec<Record>,
 }
@@ -83,8 +84,8 @@
         let payload = &frame[9..];
         let update = match frame[8] {
             0 => None,
-            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(ListUpdate {
-                is_full_list: kind == 1,
+            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(DirectoryUpdate {
+                is_full: kind == 1,
                 records: payload.chunks_exact(RECORD_BYTES).map(decode_record).collect(),
             }),
             1 | 2 => return Err("frame ends inside a record"),
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -167,9 +167,9 @@
     assert!(client.receive().first_line.contains(" 200 "));
 }
 
-/// Guards against an exchange list that grows with every exchange that is replaced.
+/// Guards against a directory that grows with every exchange that is replaced.
 #[test]
-fn a_removed_exchange_is_dropped_from_the_list() {
+fn a_removed_exchange_is_dropped_from_the_directory() {
     let mut exchanges = Exchanges::default();
     for n in 0..1000 {
         let entry = |n: u32, health| DirectoryEntry {
--- a/tests/protocols.rs
+++ b/tests/protocols.rs
@@ -58,9 +58,9 @@
         collect_all(|| decoder.next_frame())
     });
     assert_eq!((frames[0].event_number, &frames[0].update), (4, &None));
-    let list = frames[1].update.as_ref().unwrap();
-    assert_eq!((frames[1].event_number, list.is_full_list, list.records.len()), (261, true, 1));
-    let record = &list.records[0];
+    let update = frames[1].update.as_ref().unwrap();
+    assert_eq!((frames[1].event_number, update.is_full, update.records.len()), (261, true, 1));
+    let record = &update.records[0];
     assert_eq!((record.id.as_str(), record.address.to_string().as_str()), ("s-00c41f7a", "10.1.0.9:3868"));
     assert_eq!((record.state, record.zone, record.node, record.started_ms), (1, 2, 3, 0x0190_0000_0001));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -34,7 +34,7 @@
     network
         .update_directory(UpdateKind::Full, vec![entry(0, Health::Live, None), entry(1, Health::Live, None)]);
     let call = network.offer_call(2, 0);
-    assert_eq!(network.outstanding_at(&call), None, "an exchange missing from a full list is gone");
+    assert_eq!(network.outstanding_at(&call), None, "an exchange missing from a full directory is gone");
 }
 
 #[test]
