--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -35,6 +35,10 @@
 const COLD_CAPACITY_SHARE: f64 = 0.28;
 /// Time from the start of an exchange until it has its full capacity, in seconds.
 const WARM_UP_S: f64 = 14.0;
+/// Multiple of its capacity at which an exchange fails during its slow start (`FallMultiple`).
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+/// Time for which an exchange bears that multiple (`FallNs`).
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
 /// Item in the queue of a connection to the router.
 enum Outgoing {
@@ -398,8 +402,8 @@
                         + (1.0 - COLD_CAPACITY_SHARE) * started_at.elapsed().as_secs_f64() / WARM_UP_S;
                     checker.on_slow_start_set_up(
                         self.id(),
-                        2.0 * WARM_CAPACITY_PER_S * capacity_share,
-                        Duration::from_secs(1),
+                        OVERLOAD_MULTIPLE * WARM_CAPACITY_PER_S * capacity_share,
+                        OVERLOAD_WINDOW,
                     );
                 }
             }
