--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -161,7 +161,7 @@
     exchange_descriptions: Vec<String>,
     ended: Option<(Instant, ReleaseState)>,
     released: bool,
-    /// The exchange is gone, so only the router process that set the call up still knows of it.
+    /// The exchange is gone, so only the router process that set the call up still has its state.
     is_orphaned: bool,
     /// No answer is owed any more: the client left, the process was killed, nothing accepted the connection,
     /// or the loss has been reported already.
@@ -550,7 +550,7 @@
     }
 
     /// Records that an exchange has stopped for good with an answered call, or with a release that it had not
-    /// delivered. Nothing knows of the call any more, and no release is owed, if the router process that set
+    /// delivered. The state of the call is lost, and no release is owed, if the router process that set
     /// it up has ended as well.
     pub fn on_call_orphaned(&mut self, id: &str) {
         let now = Instant::now();
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -137,7 +137,7 @@
 /// An exchange of the directory with its address.
 #[derive(Debug, Clone)]
 pub struct ListedExchange {
-    /// Directory entry, as passed to the decision module.
+    /// Directory entry, as passed to the controller.
     pub entry: DirectoryEntry,
     /// Address on which the exchange accepts connections.
     pub address: SocketAddr,
@@ -173,7 +173,7 @@
     pub window_per_upstream: usize,
     /// Node that serves each host of a SIP URI; hosts are in lower case.
     pub routes: HashMap<String, NodeNumber>,
-    /// Settings of the front end's own decision module.
+    /// Settings of the front end's own controller.
     pub settings: Settings,
 }
 
@@ -211,7 +211,7 @@
     pub last_known_event: u64,
     /// Updates of the directory that are known at the start.
     pub known_updates: Vec<DirectoryUpdate>,
-    /// Settings of the decision module.
+    /// Settings of the controller.
     pub settings: Settings,
     /// Names of the classes, indexed by class number.
     pub class_names: Vec<String>,
@@ -380,12 +380,12 @@
     }))
 }
 
-/// Latency objective as a multiple of the query time-out. The decision module takes an answer within a fifth
-/// of the latency objective for a sign of spare capacity; with this multiple, every reply before the time-out
-/// is one.
+/// Latency objective as a multiple of the query time-out. The controller takes an answer within a fifth of
+/// the latency objective for a sign of spare capacity; with this multiple, every reply before the time-out is
+/// one.
 const LATENCY_OBJECTIVE_TIMEOUTS: u32 = 5;
 
-/// Returns the settings of a decision module whose exchanges are DNS servers, that is, pools open to every
+/// Returns the settings of a controller whose exchanges are DNS servers, that is, pools open to every
 /// look-up. Look-ups for calls have a higher value than resolvers' queries, so they take precedence.
 ///
 /// The latency objective derives from the query time-out, because every reply that arrives before the
@@ -479,7 +479,7 @@
     Ok(ListedExchange { entry, address: host.get("dial").address()? })
 }
 
-/// Reads the settings of the decision module. The keys are those of the first message of the simulator.
+/// Reads the settings of the controller. The keys are those of `Info` in the adapter's `Boot` event.
 fn read_settings(root: &ConfigNode<'_>) -> ConfigResult<Settings> {
     let (domain, contract, limits) = (root.get("Domain"), root.get("Contract"), root.get("PolicyLimits"));
     let penalties = root.get("Penalties");
--- a/src/net/client_connections.rs
+++ b/src/net/client_connections.rs
@@ -19,6 +19,7 @@
 /// Time that a new connection has for its first message while the router stops.
 const FIRST_MESSAGE_GRACE: Duration = Duration::from_millis(300);
 
+/// One client connection.
 #[derive(Debug)]
 struct ClientConnection {
     writes: SharedWriteBuffer,
@@ -168,7 +169,7 @@
         self.open.get(&id).map_or(0, |c| c.open_requests.len())
     }
 
-    /// Returns whether a connection is closing or gone, so that no further request on it is served.
+    /// Returns whether a connection is closing or has ended, so that no further request on it is served.
     pub fn is_closing(&self, id: u64) -> bool {
         self.open.get(&id).is_none_or(|c| !c.is_open())
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -69,7 +69,7 @@
     Silent,
     /// No request has been open for a long time.
     Idle,
-    /// It made room for another connection.
+    /// It was closed so that another connection could be opened.
     Evicted,
     /// The peer read too slowly, so that too many bytes were waiting to be sent.
     WriteBufferFull,
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -2,7 +2,7 @@
 //! no destination.
 //!
 //! Both kinds of look-up are requests to a separate core, whose exchanges are the upstream DNS servers and
-//! whose decision module treats them as pools. Each query to an upstream server is an attempt.
+//! whose controller treats them as pools. Each query to an upstream server is an attempt.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -68,6 +68,7 @@
     Call(oneshot::Sender<Option<LookUpResult>>),
 }
 
+/// An upstream DNS server.
 #[derive(Debug)]
 struct Upstream {
     address: SocketAddr,
@@ -78,7 +79,7 @@
 /// The state of the ENUM front end.
 #[derive(Debug)]
 pub struct EnumFrontEnd {
-    self_ref: Weak<RefCell<EnumFrontEnd>>,
+    weak_self: Weak<RefCell<EnumFrontEnd>>,
     /// Core that schedules the look-ups.
     pub core: Core,
     clock: Clock,
@@ -108,7 +109,7 @@
     /// Creates the front end and its core.
     ///
     /// # Errors
-    /// If the decision module rejects the settings.
+    /// Returns an error if the controller rejects the settings.
     pub fn new(
         config: &EnumConfig,
         seed: u64,
@@ -118,9 +119,9 @@
     ) -> Result<Handle, SettingsError> {
         let now = clock.now();
         let core = Core::new(Controller::new(config.settings.clone(), seed, now)?, Exchanges::default(), now);
-        Ok(Rc::new_cyclic(|self_ref| {
+        Ok(Rc::new_cyclic(|weak_self| {
             let mut front_end = Self {
-                self_ref: self_ref.clone(),
+                weak_self: weak_self.clone(),
                 core,
                 clock,
                 log,
@@ -161,7 +162,7 @@
         self.report_capacity();
     }
 
-    /// Applies a new configuration while look-ups continue. The settings of the decision module, the query
+    /// Applies a new configuration while look-ups continue. The settings of the controller, the query
     /// time-out and the socket stay as they were at the start.
     pub fn reload(&mut self, config: &EnumConfig) {
         let EnumConfig { listen, query_timeout, settings, .. } = self.config.clone();
@@ -233,11 +234,11 @@
             return; // answering a response could start an endless exchange between two servers
         }
         let Some(query) = dns::decode(bytes) else {
-            return self.send_to_client(from, &dns::format_error_response(id));
+            return self.send_to_resolver(from, &dns::format_error_response(id));
         };
         let name = match dns::validate_query(&query, &self.config.zone) {
             Ok(name) => name,
-            Err(rcode) => return self.send_to_client(from, &dns::response(&query, rcode, &[])),
+            Err(rcode) => return self.send_to_resolver(from, &dns::response(&query, rcode, &[])),
         };
         if self.resolver_queries.contains(&(from, id)) {
             return;
@@ -248,14 +249,14 @@
         let from_same_address =
             self.resolver_queries.iter().filter(|(resolver, _)| resolver.ip() == from.ip()).count();
         if self.requesters.len() >= limit || from_same_address >= limit.div_ceil(2) {
-            return self.send_to_client(from, &dns::response(&query, dns::SERVFAIL, &[]));
+            return self.send_to_resolver(from, &dns::response(&query, dns::SERVFAIL, &[]));
         }
         self.resolver_queries.insert((from, id));
         let within = self.config.answer_within;
         self.begin(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
     }
 
-    fn send_to_client(&self, to: SocketAddr, bytes: &[u8]) {
+    fn send_to_resolver(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.socket {
             if let Err(e) = socket.try_send_to(bytes, to) {
                 debug!(self.log, "response not sent"; "error" => %e);
@@ -303,7 +304,7 @@
                     Some(result) => dns::response(&query, result.rcode, &result.records),
                     None => dns::response(&query, dns::SERVFAIL, &[]),
                 };
-                self.send_to_client(from, &response);
+                self.send_to_resolver(from, &response);
             }
             // Fails if the task that waits for the result has ended.
             Some(Requester::Call(sender)) => drop(sender.send(result)),
@@ -320,7 +321,7 @@
 
     /// Starts a task that sends one query to an upstream server and waits for the reply until the time-out.
     fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, remaining: Duration) {
-        let (Some(front_end), Some(name)) = (self.self_ref.upgrade(), self.names.get(call).cloned()) else {
+        let (Some(front_end), Some(name)) = (self.weak_self.upgrade(), self.names.get(call).cloned()) else {
             return;
         };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
@@ -430,7 +431,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let length = socket.recv(&mut buffer).await.map_err(unreachable)?;
-        // A corrupt reply ends the wait, so that another server is asked at once instead of after the
+        // A corrupt reply ends the wait, so that another server is queried at once instead of after the
         // time-out.
         let reply = dns::decode(&buffer[..length]).or_else(|| dns::decode_corrupt(&buffer[..length]));
         let Some(reply) = reply else { continue };
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -38,8 +38,8 @@
 /// Time without a message after which the calls of an unreachable exchange are released.
 ///
 /// A release is due 8 s after the end of its call, even if the exchange could not send it. Any call that was
-/// established when the exchange was last heard may have ended since, so all of them are released; those that
-/// are still established are cut off.
+/// established when the last message of the exchange arrived may have ended since, so all of them are
+/// released; those that are still established are cut off.
 const OUT_OF_REACH_TIMEOUT: Duration = Duration::from_millis(7400);
 /// Maximum number of releases that wait for a connection.
 const MAX_QUEUED_RELEASES: usize = 4096;
@@ -48,6 +48,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
+/// One connection to the exchange.
 #[derive(Debug)]
 struct PooledConnection {
     id: ConnectionId,
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -1,9 +1,9 @@
-//! Carries out the core's effects as messages to clients, exchanges and other routers.
+//! Executes the core's effects: sends messages to clients, exchanges and other routers.
 
 use super::*;
 
 impl Platform {
-    /// Carries out the pending effects of the core.
+    /// Executes the effects of the core until none is left.
     pub(super) fn flush(&mut self) {
         loop {
             let effects = self.core.take_effects();
@@ -11,13 +11,13 @@
                 break;
             }
             for effect in effects {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
         self.timers_changed.notify_one();
     }
 
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn execute(&mut self, effect: Effect) {
         let now = self.clock.now();
         match effect {
             Effect::SendSetUp { exchange, call, class, called_number, remaining, description } => {
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -160,7 +160,7 @@
             // The set-up may have succeeded with its answer corrupted or cut off. Any call established there
             // is released before the next attempt, so that it does not hold circuits that nobody uses.
             let exchange_id = Some(exchange.clone());
-            self.carry_out(Effect::ReleaseAtExchange {
+            self.execute(Effect::ReleaseAtExchange {
                 exchange: exchange_id,
                 call: id.clone(),
                 cause: CAUSE_NORMAL_CLEARING,
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -122,7 +122,7 @@
     is_stopped: bool,
     client_budget: Rc<WriteBudget>,
     server_budget: Rc<WriteBudget>,
-    /// Hold-off in milliseconds for callers that are refused without a hold-off from the decision module.
+    /// Hold-off in milliseconds for callers that are refused without a hold-off from the controller.
     hold_off: Option<u128>,
     /// ENUM front end that resolves numbers, if configured, and the share of a call's time that a look-up may
     /// take.
@@ -147,7 +147,7 @@
     /// Creates the front end and its core.
     ///
     /// # Errors
-    /// Returns an error if the decision module rejects the settings.
+    /// Returns an error if the controller rejects the settings.
     pub fn new(config: &Config, log: Logger, clock: Clock) -> Result<Handle, SettingsError> {
         let (now, limits) = (clock.now(), &config.settings.limits);
         let exchanges = Exchanges::with_nodes_of(&config.settings);
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -54,7 +54,7 @@
         self.peers.replace(config.peers.clone());
     }
 
-    /// Stops the virtual router. If it was active, a backup is told to take over.
+    /// Stops the virtual router. If it was active, its last advertisement lets a backup take over at once.
     pub fn stop(&self) {
         let final_advertisement = self.state_machine.borrow_mut().stop(self.clock.now());
         self.send(final_advertisement);
--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -28,7 +28,7 @@
 
 /// Returns a NAPTR record that leads to the host of a node.
 fn record_for_node(node: u32) -> Naptr {
-    naptr(10, 10, "u", "E2U+sip", &format!("!^.*$!sip:\\\\0@place{node}.example!").replace("\\\\0", "info"))
+    naptr(10, 10, "u", "E2U+sip", &format!("!^.*$!sip:\\\\0@node{node}.example!").replace("\\\\0", "info"))
 }
 
 /// Reaction of an emulated DNS server to a query.
@@ -73,7 +73,7 @@
     let mut config = router_config(exchanges);
     let upstreams: Vec<String> = upstreams.iter().map(ToString::to_string).collect();
     config["enum"] = json!({"listen": "127.0.0.1:0", "upstreams": upstreams, "answer_within_ms": 3000,
-        "query_timeout_ms": 700, "routes": {"place1.example": 1}});
+        "query_timeout_ms": 700, "routes": {"node1.example": 1}});
     for (key, value) in more.as_object().unwrap() {
         config["enum"][key] = value.clone();
     }
@@ -275,7 +275,7 @@
 /// An expression from a server that would compile to a huge program must not exhaust the router's memory.
 #[test]
 fn an_expression_that_is_too_large_has_no_target() {
-    let record = naptr(1, 1, "u", "E2U+sip", "!^((.{200}){200}){200}$!sip:a@place1.example!");
+    let record = naptr(1, 1, "u", "E2U+sip", "!^((.{200}){200}){200}$!sip:a@node1.example!");
     assert_eq!(dns::targets(&[record], "+1"), vec![]);
 }
 
@@ -555,8 +555,8 @@
     };
     let (mut first, first_look_ups, first_vrrp) = start(200, &ends[0]);
     let (mut second, second_look_ups, second_vrrp) = start(100, &ends[1]);
-    let ways = [(0, second_vrrp), (1, first_vrrp)];
-    for (from, to) in ways {
+    let paths = [(0, second_vrrp), (1, first_vrrp)];
+    for (from, to) in paths {
         let (from, to_end) = (ends[from].try_clone().unwrap(), ends[1 - from].try_clone().unwrap());
         thread::spawn(move || {
             let mut buffer = [0; 100];
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -47,7 +47,7 @@
     stream.write_all(corrupted.as_bytes()).unwrap();
     let mut established = Vec::new();
     while established.len() < 2 {
-        // The decision module may cancel an attempt that takes longer than the other one; it is repeated
+        // The controller may cancel an attempt that takes longer than the other one; it is repeated
         // then.
         let (start, stream, at) = exchange.receive("START");
         assert!(at - started_at >= Duration::from_millis(500), "{:?}", at - started_at);
@@ -64,7 +64,7 @@
 /// Guards against circuits held for nobody: the call whose answer was corrupted may be established there.
 #[test]
 fn a_call_whose_answer_was_corrupted_is_released_before_it_is_set_up_again() {
-    let (exchange, _router, _caller, mut stream) = start_attempt();
+    let (exchange, _router, _client, mut stream) = start_attempt();
     stream.write_all(b"{\"verb\":\"STARTED\",\n").unwrap();
     let (released, _, at) = exchange.receive("FINISH");
     assert_eq!((&released["tag"], &released["rc"]), (&"00000000000000e0".into(), &16.into()));
@@ -76,7 +76,7 @@
 /// Guards against memory used up by a line that never ends.
 #[test]
 fn a_connection_with_an_endless_line_is_closed() {
-    let (_exchange, _router, _caller, mut stream) = start_attempt();
+    let (_exchange, _router, _client, mut stream) = start_attempt();
     stream.write_all(b"{\"verb\":\"STARTED\",\"tag\":\"00000000000000e0\",\"blob\":\"").unwrap();
     let cut_off = (0..10_000).any(|_| stream.write_all(&[b'x'; 8192]).is_err());
     assert!(cut_off, "the router still reads");
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -196,12 +196,12 @@
         ));
     }
 
-    pub fn send_invite(&mut self, call: &str, dest: u32, limit_ms: u32) {
-        let dest = format!("X-Dest: dest:{dest};width:1;via:-1\r\n");
+    pub fn send_invite(&mut self, call: &str, destination: u32, ring_limit_ms: u32) {
+        let destination = format!("X-Dest: dest:{destination};width:1;via:-1\r\n");
         self.send_request(
             "INVITE",
             call,
-            &format!("X-Call-Class: voice\r\nX-Ring-Limit: {limit_ms}\r\n{dest}"),
+            &format!("X-Call-Class: voice\r\nX-Ring-Limit: {ring_limit_ms}\r\n{destination}"),
             BODY,
         );
     }
--- a/tests/lost_requests.rs
+++ b/tests/lost_requests.rs
@@ -42,9 +42,9 @@
 fn set_ups_for_a_removed_exchange_after_a_restart_leave_other_requests_on_the_connection_open() {
     let (first, second) = (Exchange::start(), Exchange::start());
     let (listener, address) = bind_coordinator();
-    let mut settings = router_config(&[first.address, second.address]);
-    settings["coordinator"] = address;
-    let mut first_router = Router::start(&settings);
+    let mut config = router_config(&[first.address, second.address]);
+    config["coordinator"] = address;
+    let mut first_router = Router::start(&config);
     first_router.connect_client().wait_until_ready();
     let (mut events, _) = accept_coordinator_connection(&listener);
     let mut removed = coordinator_frame(2, 2, 2, second.address);
@@ -54,9 +54,9 @@
     first_router.signal("-TERM");
     assert!(first_router.child.wait().unwrap().success());
 
-    settings["known"]["updates"][0]["endpoints"]["hosts"].as_array_mut().unwrap().remove(1);
-    settings["known"]["index"] = json!(2);
-    let router = Router::start(&settings);
+    config["known"]["updates"][0]["endpoints"]["hosts"].as_array_mut().unwrap().remove(1);
+    config["known"]["index"] = json!(2);
+    let router = Router::start(&config);
     let mut client = router.connect_client();
     client.wait_until_ready();
     client.send_invite("0000000000000a00", 1, 3000);
@@ -152,9 +152,9 @@
     #[case] kill_after_ms: u64,
 ) {
     let exchange = Exchange::start(); // never answers
-    let mut settings = router_config(&[exchange.address]);
-    settings["settings"]["Classes"][0]["DeadlineNs"] = json!(deadline_ms * 1_000_000);
-    let mut router = Router::start(&settings);
+    let mut config = router_config(&[exchange.address]);
+    config["settings"]["Classes"][0]["DeadlineNs"] = json!(deadline_ms * 1_000_000);
+    let mut router = Router::start(&config);
     let (mut client, mut busy) = (router.connect_client(), router.connect_client());
     client.wait_until_ready();
     client.send_invite("0000000000000d00", 1, deadline_ms as u32);
