--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Returns the destination and the call that a set-up offers, or `None` if a value is missing, not a number
-    /// or out of range. The destination may be missing if numbers are looked up.
+    /// Returns the destination and the call that a set-up offers, or `None` if a value is missing, not a
+    /// number or out of range. The destination may be missing if numbers are looked up.
     pub(super) fn parse_offered_call(
         &self,
         id: &CallId,
