--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -253,6 +253,7 @@
     }
 }
 
+/// Encodes a frame without a record: its length, the event number and the kind 0.
 fn heartbeat_frame(number: u64) -> Vec<u8> {
     let mut frame = 9_u32.to_be_bytes().to_vec();
     frame.extend(number.to_be_bytes());
@@ -260,6 +261,7 @@
     frame
 }
 
+/// Encodes a frame with one record: its length, the event number, the kind 2 and the 27 bytes of the record.
 fn event_frame(event: &DirectoryEvent) -> Vec<u8> {
     let mut frame = 36_u32.to_be_bytes().to_vec();
     frame.extend(event.number.to_be_bytes());
--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -5,6 +5,8 @@
 
 /// Maximum frame length in bytes, without the length field.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024;
+/// Size of a frame's header in bytes: the event number and the kind of frame.
+const FRAME_HEADER_BYTES: usize = 9;
 /// Size of one record in bytes.
 const RECORD_BYTES: usize = 27;
 
@@ -74,14 +76,14 @@
             return Ok(None);
         }
         let length = read_integer(&self.bytes[..4]) as usize;
-        if !(9..=MAX_FRAME_BYTES).contains(&length) {
+        if !(FRAME_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
             return Err("frame length out of range");
         }
         if self.bytes.len() < 4 + length {
             return Ok(None);
         }
         let frame: Vec<u8> = self.bytes.drain(..4 + length).skip(4).collect();
-        let payload = &frame[9..];
+        let payload = &frame[FRAME_HEADER_BYTES..];
         let update = match frame[8] {
             0 => None,
             kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(DirectoryUpdate {
@@ -95,6 +97,8 @@
     }
 }
 
+/// Decodes a record: id (4 bytes), IPv4 address (4), port (2), state (1), zone (1), then at offset 13 the
+/// node (2) and at offset 19 the start (8). The other bytes are not used.
 fn decode_record(bytes: &[u8]) -> Record {
     let address = Ipv4Addr::from(read_integer(&bytes[4..8]) as u32);
     Record {
--- a/src/protocol/dns.rs
+++ b/src/protocol/dns.rs
@@ -10,6 +10,20 @@
 const IN: u16 = 1;
 /// Size of the message header in bytes.
 const HEADER_BYTES: usize = 12;
+/// Header flag QR: the message is a response.
+const QR: u16 = 0x8000;
+/// Header flag TC: the message was truncated.
+const TC: u16 = 0x0200;
+/// Header flag RD: recursion is desired.
+const RD: u16 = 0x0100;
+/// Header flag RA: recursion is available.
+const RA: u16 = 0x0080;
+/// Size in bytes of the OPT record that is sent.
+const OPT_BYTES: usize = 11;
+/// Size in bytes of a record without its data, with its owner given as a pointer.
+const RECORD_HEADER_BYTES: usize = 12;
+/// Maximum number of digits of an E.164 number.
+const MAX_E164_DIGITS: usize = 15;
 /// Maximum response size in bytes without EDNS.
 const MAX_RESPONSE_BYTES: usize = 512;
 /// Maximum response size in bytes with EDNS (RFC 6891). A datagram of this size crosses any link without
@@ -64,7 +78,7 @@
     pub fn e164_number(&self, zone: &Self) -> Option<String> {
         let digits = self.0.get(..self.0.len().checked_sub(zone.0.len())?)?;
         let is_all_digits = digits.iter().all(|l| l.len() == 1 && l[0].is_ascii_digit());
-        let is_valid = self.is_under(zone) && is_all_digits && digits.len() <= 15;
+        let is_valid = self.is_under(zone) && is_all_digits && digits.len() <= MAX_E164_DIGITS;
         let text = |l: &Vec<u8>| l.iter().map(|b| char::from(*b)).collect::<String>();
         is_valid.then(|| format!("+{}", digits.iter().rev().map(text).collect::<String>()))
     }
@@ -93,7 +107,8 @@
 pub fn name_for_number(number: &str, zone: &Name) -> Option<Name> {
     let digits = number.strip_prefix('+').unwrap_or(number);
     let digits_only: String = digits.chars().filter(|c| !matches!(c, '-' | '.' | ' ' | '(' | ')')).collect();
-    let is_valid = (1..=15).contains(&digits_only.len()) && digits_only.bytes().all(|b| b.is_ascii_digit());
+    let is_valid =
+        (1..=MAX_E164_DIGITS).contains(&digits_only.len()) && digits_only.bytes().all(|b| b.is_ascii_digit());
     let labels = digits_only.bytes().rev().map(|b| vec![b]).chain(zone.0.iter().cloned());
     is_valid.then(|| Name(labels.collect()))
 }
@@ -142,6 +157,7 @@
     pub has_edns: bool,
 }
 
+/// Reads the fields of a message one after the other.
 struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -184,6 +200,7 @@
                     self.position = end.unwrap_or(at + 1);
                     return Some(Name(labels));
                 }
+                // A label of that length.
                 1..=63 => {
                     let label = self.bytes.get(at + 1..at + 1 + usize::from(size))?;
                     length += label.len() + 1;
@@ -193,6 +210,7 @@
                     labels.push(label.to_vec());
                     at += 1 + usize::from(size);
                 }
+                // A pointer to the rest of the name, in the low 14 bits.
                 192.. => {
                     let target = usize::from(size & 63) << 8 | usize::from(*self.bytes.get(at + 1)?);
                     end.get_or_insert(at + 2);
@@ -254,10 +272,10 @@
     };
     let mut message = Message {
         id,
-        is_response: flags & 0x8000 != 0,
+        is_response: flags & QR != 0,
         opcode: (flags >> 11 & 15) as u8,
-        is_truncated: flags & 0x0200 != 0,
-        recursion_desired: flags & 0x0100 != 0,
+        is_truncated: flags & TC != 0,
+        recursion_desired: flags & RD != 0,
         rcode: (flags & 15) as u8,
         question,
         records: Vec::new(),
@@ -290,7 +308,7 @@
 /// Decodes what it can of a message with corrupt records; the result is marked as truncated.
 pub fn decode_corrupt(bytes: &[u8]) -> Option<Message> {
     let mut marked = bytes.to_vec();
-    *marked.get_mut(2)? |= 2;
+    *marked.get_mut(2)? |= 2; // flag TC
     decode(&marked)
 }
 
@@ -309,7 +327,7 @@
 
 /// Encodes a query for the NAPTR records of a name.
 pub fn query(id: u16, name: &Name) -> Vec<u8> {
-    let mut out = encode_header(id, 0x0100, [1, 0, 0, 1]);
+    let mut out = encode_header(id, RD, [1, 0, 0, 1]);
     name.encode(&mut out);
     out.extend([NAPTR, IN].iter().flat_map(|w| w.to_be_bytes()));
     encode_opt(&mut out);
@@ -346,7 +364,7 @@
         name.encode(&mut out);
         out.extend([*kind, *class].iter().flat_map(|w| w.to_be_bytes()));
     }
-    let available = to.max_response_bytes - if to.has_edns { 11 } else { 0 };
+    let available = to.max_response_bytes - if to.has_edns { OPT_BYTES } else { 0 };
     let (mut count, mut truncated) = (0u16, false);
     for record in records {
         let mut data =
@@ -356,7 +374,7 @@
             data.extend_from_slice(text);
         }
         record.replacement.encode(&mut data);
-        if out.len() + 12 + data.len() > available {
+        if out.len() + RECORD_HEADER_BYTES + data.len() > available {
             truncated = true;
             break;
         }
@@ -370,8 +388,8 @@
     if to.has_edns {
         encode_opt(&mut out);
     }
-    let mut flags = 0x8080 | u16::from(rcode & 15) | u16::from(to.opcode) << 11;
-    flags |= if truncated { 0x0200 } else { 0 } | if to.recursion_desired { 0x0100 } else { 0 };
+    let mut flags = QR | RA | u16::from(rcode & 15) | u16::from(to.opcode) << 11;
+    flags |= if truncated { TC } else { 0 } | if to.recursion_desired { RD } else { 0 };
     out[2..4].copy_from_slice(&flags.to_be_bytes());
     out[6..8].copy_from_slice(&count.to_be_bytes());
     out
@@ -379,7 +397,7 @@
 
 /// Encodes the response to a message of which only the header is valid.
 pub fn format_error_response(id: u16) -> Vec<u8> {
-    encode_header(id, 0x8000 | u16::from(FORMERR), [0, 0, 0, 0])
+    encode_header(id, QR | u16::from(FORMERR), [0, 0, 0, 0])
 }
 
 /// Result of applying a NAPTR record to a number.
--- a/src/protocol/jsonl.rs
+++ b/src/protocol/jsonl.rs
@@ -128,6 +128,7 @@
     }
 }
 
+/// Parses one JSON value after the other.
 struct Parser<'a> {
     text: &'a str,
     position: usize,
@@ -266,8 +267,8 @@
     out.push('"');
 }
 
-/// Encodes a set-up. `key` is the called number, `left_ms` the time in milliseconds until
-/// the caller gives up.
+/// Encodes a set-up. `key` is the called number, `left_ms` the time in milliseconds until the caller gives
+/// up.
 pub fn start(tag: &str, class: &str, key: &str, left_ms: u128, blob: &str) -> Vec<u8> {
     let mut line = String::from("{\"verb\":\"START\",\"tag\":");
     write_string(tag, &mut line);
--- a/src/protocol/vrrp.rs
+++ b/src/protocol/vrrp.rs
@@ -8,6 +8,8 @@
 
 /// Priority of the router that owns the addresses.
 const OWNER_PRIORITY: u8 = 255;
+/// Size in bytes of an advertisement without its addresses.
+const HEADER_BYTES: usize = 8;
 const CENTISECOND: Duration = Duration::from_millis(10);
 
 /// Configuration of a virtual router.
@@ -62,6 +64,7 @@
 impl Advertisement {
     /// Encodes the advertisement (RFC 9568, section 5.1).
     pub fn encode(&self) -> Vec<u8> {
+        // 0x31: version 3, type 1 (advertisement).
         let mut out = vec![0x31, self.vrid, self.priority, self.addresses.len() as u8];
         out.extend((self.interval_cs & 0x0fff).to_be_bytes());
         out.extend([0, 0]);
@@ -76,7 +79,7 @@
     /// # Errors
     /// Names the check that failed.
     pub fn decode(bytes: &[u8]) -> Result<Self, &'static str> {
-        if bytes.len() < 8 {
+        if bytes.len() < HEADER_BYTES {
             return Err("too short");
         }
         if bytes[0] >> 4 != 3 {
@@ -86,7 +89,7 @@
             return Err("no advertisement");
         }
         let count = usize::from(bytes[3]);
-        if count == 0 || bytes.len() != 8 + 4 * count {
+        if count == 0 || bytes.len() != HEADER_BYTES + 4 * count {
             return Err("wrong number of addresses");
         }
         if checksum(bytes) != 0 {
@@ -97,7 +100,7 @@
             vrid: bytes[1],
             priority: bytes[2],
             interval_cs: u16::from_be_bytes([bytes[4] & 15, bytes[5]]),
-            addresses: bytes[8..].chunks_exact(4).map(address).collect(),
+            addresses: bytes[HEADER_BYTES..].chunks_exact(4).map(address).collect(),
         })
     }
 }
