--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -37,7 +37,7 @@
 const WARM_UP_S: f64 = 14.0;
 /// Multiple of its capacity at which an exchange fails during its slow start (`FallMultiple`).
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// Time for which an exchange bears that multiple (`FallNs`).
+/// Time for which an exchange sustains that multiple (`FallNs`).
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
 /// Item in the queue of a connection to the router.
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -275,8 +275,8 @@
             cancel_allowed: limits.cancelling.unwrap_or(false),
             probes_allowed: limits.probes.unwrap_or(false),
             peer_messages_allowed: limits.peers.unwrap_or(false),
-            retry_after_allowed: limits.retry_after.unwrap_or(false),
-            max_retry_after: duration_or_zero(limits.max_retry_after_ns),
+            hold_off_allowed: limits.retry_after.unwrap_or(false),
+            max_hold_off: duration_or_zero(limits.max_retry_after_ns),
         },
         gauges: info.stats.names.unwrap_or_default().iter().map(|n| parse_gauge(n)).collect(),
         penalties: Penalties {
--- a/src/call/calls.rs
+++ b/src/call/calls.rs
@@ -35,7 +35,7 @@
     /// Time at which the caller stops waiting for an answer.
     pub deadline: Duration,
     /// Number of attempts made so far.
-    pub attempt_count: u32,
+    pub attempts_made: u32,
     /// Attempt that is pending or that established the call.
     pub attempt: Option<Attempt>,
     /// Set once an exchange has answered: the call is established.
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -245,7 +245,7 @@
             called_number: offered.called_number.clone(),
             description: request.description,
             deadline,
-            attempt_count: 0,
+            attempts_made: 0,
             attempt: None,
             is_established: false,
         };
@@ -488,8 +488,8 @@
         let is_listed = self.exchanges.is_listed(&exchange);
         let Some(call) = self.calls.open.get_mut(id) else { return };
         let give_up_at = if give_up_at.is_zero() { call.deadline } else { give_up_at.min(call.deadline) };
-        let attempt = Attempt { exchange: exchange.clone(), number: call.attempt_count, sent_at: self.now };
-        call.attempt_count += 1;
+        let attempt = Attempt { exchange: exchange.clone(), number: call.attempts_made, sent_at: self.now };
+        call.attempts_made += 1;
         if !is_listed || call.attempt.is_some() || call.is_established || give_up_at <= self.now {
             return self.queue_outcome(id, &attempt, AttemptStatus::Moot, None, Vec::new(), false);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -98,7 +98,7 @@
     pub warm_up_time: Duration,
     /// A cold exchange fails if it is sent this multiple of its capacity for the length of `overload_window`.
     pub overload_multiple: f64,
-    /// Time for which a cold exchange bears `overload_multiple` times its capacity.
+    /// Time for which a cold exchange sustains `overload_multiple` times its capacity.
     pub overload_window: Duration,
     /// Longest time between two requests to a directory that has to be polled.
     pub max_poll_interval: Duration,
@@ -115,10 +115,10 @@
     pub probes_allowed: bool,
     /// Whether messages may be sent to other controllers.
     pub peer_messages_allowed: bool,
-    /// Whether a refusal may tell the caller a hold-off.
-    pub retry_after_allowed: bool,
+    /// Whether a refusal may ask the caller to hold off.
+    pub hold_off_allowed: bool,
     /// Longest hold-off that callers obey.
-    pub max_retry_after: Duration,
+    pub max_hold_off: Duration,
 }
 
 /// Meaning of a figure in a load report. The index in [`Settings::gauges`] is the index in the report.
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -542,8 +542,8 @@
             cancel_allowed: limits.get("Cancelling").boolean(false)?,
             probes_allowed: limits.get("Probes").boolean(false)?,
             peer_messages_allowed: limits.get("Peers").boolean(false)?,
-            retry_after_allowed: limits.get("RetryAfter").boolean(false)?,
-            max_retry_after: limits.get("MaxRetryAfterNs").duration_ns()?,
+            hold_off_allowed: limits.get("RetryAfter").boolean(false)?,
+            max_hold_off: limits.get("MaxRetryAfterNs").duration_ns()?,
         },
         gauges: read_gauges(&root.get("Stats").get("Names"))?,
         penalties: Penalties {
--- a/src/net/platform/exchanges.rs
+++ b/src/net/platform/exchanges.rs
@@ -26,9 +26,10 @@
         if message.verb == "LOAD" {
             pool.on_group_state(now, connection);
         }
-        let report = message.load.as_deref().map(|load| self.parse_load(load)).unwrap_or_default();
+        let load_report =
+            message.load.as_deref().map(|load| self.parse_load_report(load)).unwrap_or_default();
         match message.verb.as_str() {
-            "LOAD" => self.core.handle_load_report(now, exchange, report),
+            "LOAD" => self.core.handle_load_report(now, exchange, load_report),
             "STARTED" => {
                 debug!(self.log, "exchange answered"; "call_id" => &*id.0, "exchange_id" => &*exchange.0);
                 self.metrics.count_attempt_outcome("stands");
@@ -38,7 +39,7 @@
             "FINISH" => {
                 let was_established = self.core.calls.open.get(&id).is_none_or(|c| c.is_established);
                 let status = release_status(message.cause, was_established);
-                let cause = message.note.as_deref().and_then(failure_cause);
+                let failure_cause = message.note.as_deref().and_then(failure_cause);
                 debug!(self.log, "exchange released call"; "call_id" => &*id.0,
                     "exchange_id" => &*exchange.0, "status" => ?status, "cause" => ?message.cause,
                     "note" => message.note.as_deref().unwrap_or(""));
@@ -47,7 +48,7 @@
                     now,
                     exchange,
                     &id,
-                    Reply::Ended { status, failure_cause: cause, load_report: report },
+                    Reply::Ended { status, failure_cause, load_report },
                 );
                 if was_established {
                     self.send_to_exchange(exchange, connection, &jsonl::reply("FINISHED", &id.0, None));
@@ -79,7 +80,7 @@
     }
 
     /// Returns the configured gauges of a load report; -1 for a gauge that the report lacks.
-    pub(super) fn parse_load(&self, load: &str) -> Vec<f64> {
+    pub(super) fn parse_load_report(&self, load: &str) -> Vec<f64> {
         self.gauge_names.iter().map(|name| sip::parameter(load, name).unwrap_or(-1.0)).collect()
     }
 
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -180,7 +180,7 @@
                 is_stopped: false,
                 client_budget: WriteBudget::new(connection::WRITE_BUDGET),
                 server_budget: WriteBudget::new(connection::WRITE_BUDGET),
-                hold_off: limits.retry_after_allowed.then_some(limits.max_retry_after.as_millis()),
+                hold_off: limits.hold_off_allowed.then_some(limits.max_hold_off.as_millis()),
                 look_up: None,
                 started_at: now,
                 peer_socket: None,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -29,8 +29,9 @@
 
 /// Share of the cold budget that is used. The rest is a margin for repeated set-ups and for those in flight.
 const COLD_BUDGET_SHARE: f64 = 0.9;
-/// Rate that an exchange is assumed to bear from this router, as a multiple of the rate that this router sent
-/// it while it was warm. It is above 1 because the exchange set up its own calls during that time as well.
+/// Rate that an exchange is assumed to sustain from this router, as a multiple of the rate that this router
+/// sent it while it was warm. It is above 1 because the exchange set up its own calls during that time as
+/// well.
 const WARM_RATE_MULTIPLE: f64 = 1.5;
 /// Circuits reserved for direct calls on the first leg to a tandem.
 const RESERVED_CIRCUITS: f64 = 1.0;
@@ -722,8 +723,7 @@
         let Some(call) = self.calls.remove(id) else { return };
         self.remember_for_redial(&call);
         // The longest hold-off is used, since a later redial means less load for the processors.
-        let hold_off =
-            self.settings.limits.retry_after_allowed.then_some(self.settings.limits.max_retry_after);
+        let hold_off = self.settings.limits.hold_off_allowed.then_some(self.settings.limits.max_hold_off);
         let refusal = Action::Refuse { call: id.clone(), hold_off };
         actions.push(if call.repeat_forbidden { Action::Fail(id.clone()) } else { refusal });
     }
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -62,7 +62,7 @@
 #[case::no_circuits("X-Ring-Limit: 2000", "dest:1;width:0;via:-1", 400)]
 #[case::too_many_circuits("X-Ring-Limit: 2000", "dest:1;width:400;via:-1", 400)]
 #[case::invalid_flag("X-Ring-Limit: 2000", "dest:1;width:1;via:-1;transit:2", 400)]
-#[case::invalid_repeat_flag("X-Ring-Limit: 2000\r\nX-Again: yes", "dest:1;width:1;via:-1", 400)]
+#[case::invalid_redial_flag("X-Ring-Limit: 2000\r\nX-Again: yes", "dest:1;width:1;via:-1", 400)]
 #[case::unknown_node("X-Ring-Limit: 2000", "dest:99;width:1;via:-1", 404)]
 fn invalid_figures_are_rejected_at_once(#[case] headers: &str, #[case] figures: &str, #[case] status: u32) {
     let (exchange, _router, mut client) = start_router();
--- a/tests/enumeration.rs
+++ b/tests/enumeration.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn after_a_refusal_the_next_server_is_asked() {
+fn after_a_refusal_the_next_server_is_queried() {
     let upstreams = [
         start_server(|_| Behaviour::Answer(5, vec![])),
         start_server(|_| Behaviour::Answer(0, vec![record_for_node(1)])),
@@ -160,7 +160,7 @@
 #[rstest]
 #[case::corrupt(corrupt)]
 #[case::truncated(truncated)]
-fn a_corrupt_answer_is_discarded_and_the_next_server_is_asked(
+fn a_corrupt_answer_is_discarded_and_the_next_server_is_queried(
     #[case] make: fn(&Message, &[u8]) -> Vec<Vec<u8>>,
 ) {
     let upstreams = [
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -105,7 +105,7 @@
     assert!((60..=162).contains(&first), "{first} set-ups of 100 in the first window");
 }
 
-/// Guards against a flood of half a second that is taken for the rate that an exchange can bear.
+/// Guards against a flood of half a second that is taken for the rate that an exchange can sustain.
 #[test]
 fn a_short_flood_hardly_raises_the_budget_of_a_cold_exchange() {
     let mut network = Network::new(settings(4), 1);
@@ -258,12 +258,12 @@
         elapsed: ms(5),
     };
     assert!(network.handle(established).is_empty());
-    let report = vec![-1.0, f64::NAN, 7.0, 8.0, 9.0];
+    let load_report = vec![-1.0, f64::NAN, 7.0, 8.0, 9.0];
     let load_reported = Event::LoadReported {
         exchange: exchange.clone(),
         probe_answered: true,
         elapsed: ms(5),
-        load_report: report.clone(),
+        load_report: load_report.clone(),
     };
     assert!(network.handle(load_reported).is_empty());
     let status = AttemptStatus::Full;
@@ -275,7 +275,7 @@
         elapsed: ms(5),
         call_ended: false,
         failure_cause: None,
-        load_report: report,
+        load_report,
     };
     assert!(network.handle(Event::AttemptEnded(outcome)).is_empty());
 }
