--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -143,16 +143,16 @@
     pub address: SocketAddr,
 }
 
-/// An update of the list of exchanges.
+/// An update of the directory.
 #[derive(Debug, Clone)]
-pub struct ListUpdate {
-    /// Whether the update holds the full list, rather than changes to it.
-    pub is_full_list: bool,
+pub struct DirectoryUpdate {
+    /// Whether the update holds the full directory, rather than changes to it.
+    pub is_full: bool,
     /// The exchanges that the update reports.
     pub exchanges: Vec<ListedExchange>,
 }
 
-/// Configuration of the ENUM front (key `enum`).
+/// Configuration of the ENUM front end (key `enum`).
 #[derive(Debug, Clone)]
 pub struct EnumConfig {
     /// Address on which resolvers' queries are received; `None` if numbers are looked up for calls only.
@@ -173,7 +173,7 @@
     pub window_per_upstream: usize,
     /// Node that serves each host of a SIP URI; hosts are in lower case.
     pub routes: HashMap<String, NodeNumber>,
-    /// Settings of the front's own decision module.
+    /// Settings of the front end's own decision module.
     pub settings: Settings,
 }
 
@@ -209,8 +209,8 @@
     pub coordinator: Option<SocketAddr>,
     /// Number of the last event contained in `known_updates`.
     pub last_known_event: u64,
-    /// Updates of the list of exchanges that are known at the start.
-    pub known_updates: Vec<ListUpdate>,
+    /// Updates of the directory that are known at the start.
+    pub known_updates: Vec<DirectoryUpdate>,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, indexed by class number.
@@ -219,8 +219,8 @@
     pub gauge_names: Vec<String>,
     /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// ENUM front; `None` if it is not configured.
-    pub enum_front: Option<EnumConfig>,
+    /// ENUM front end; `None` if it is not configured.
+    pub enum_front_end: Option<EnumConfig>,
     /// Virtual router; `None` if it is not configured.
     pub vrrp: Option<VrrpConfig>,
     /// Whether commands are read from standard input.
@@ -282,7 +282,7 @@
                 connect_timeout
             },
             settings: read_settings(&settings)?,
-            enum_front: read_enum(&root.get("enum"))?,
+            enum_front_end: read_enum(&root.get("enum"))?,
             vrrp: read_vrrp(&root.get("vrrp"))?,
             has_console: root.get("console").boolean(false)?,
         })
@@ -292,7 +292,8 @@
 impl Config {
     /// Returns the keys that differ in `new` and take effect only after a restart.
     pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
-        let enum_front = |c: &Self| c.enum_front.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
+        let enum_front_end =
+            |c: &Self| c.enum_front_end.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
         let virtual_router =
             |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.router.vrid, v.router.addresses.clone()));
         let settings = |c: &Self| (c.class_names.clone(), c.gauge_names.clone(), format!("{:?}", c.settings));
@@ -302,7 +303,7 @@
             ("peer_listen", self.peer_listen != new.peer_listen),
             ("settings", settings(self) != settings(new)),
             ("console", self.has_console != new.has_console),
-            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front(self) != enum_front(new)),
+            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front_end(self) != enum_front_end(new)),
             ("vrrp.listen/vrid/addresses", virtual_router(self) != virtual_router(new)),
         ];
         changed.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
@@ -448,11 +449,15 @@
     }))
 }
 
-fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListUpdate> {
-    let list = event.get("endpoints");
-    let exchanges =
-        list.get("hosts").items()?.iter().map(|h| read_exchange(h, zones)).collect::<ConfigResult<_>>()?;
-    Ok(ListUpdate { is_full_list: list.get("whole").boolean(false)?, exchanges })
+fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<DirectoryUpdate> {
+    let endpoints = event.get("endpoints");
+    let exchanges = endpoints
+        .get("hosts")
+        .items()?
+        .iter()
+        .map(|h| read_exchange(h, zones))
+        .collect::<ConfigResult<_>>()?;
+    Ok(DirectoryUpdate { is_full: endpoints.get("whole").boolean(false)?, exchanges })
 }
 
 fn read_exchange(host: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListedExchange> {
