--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -120,6 +120,7 @@
     Abandoned,
 }
 
+/// Set-up that reached an exchange.
 #[derive(Debug)]
 struct Attempt {
     exchange: u32,
@@ -145,6 +146,7 @@
     Unconfirmed,
 }
 
+/// Request of a client, and what has been seen of its call.
 #[derive(Debug)]
 struct Call {
     request: Request,
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -25,6 +25,11 @@
 /// A refused client may redial unless a number drawn from 0 up to this one is 0. It redials once at most.
 const MAX_REDIAL_DRAW: u32 = 2;
 
+/// Time from the deadline of a request on a new connection until the client closes that connection.
+const CLOSE_DELAY: Duration = Duration::from_millis(2800);
+/// Node number that no exchange has, called by some requests.
+const UNKNOWN_NODE: u32 = 77;
+
 /// Item in the queue of a connection to the router.
 enum Outgoing {
     /// A request, written at the given pace.
@@ -305,7 +310,7 @@
             called_number: format!("+386{:08}", rng.u32(..100_000_000)),
             description: format!("{:016x}\r\nc=IN IP4 10.4.7.9\r\n\"q\\ ž\r\n{filler}", rng.u64(..)),
             ring_limit: ring_limit.max(Duration::from_millis(3)),
-            destination: if is_unknown { 77 } else { rng.u32(1..self.scenario.exchange_count) },
+            destination: if is_unknown { UNKNOWN_NODE } else { rng.u32(1..self.scenario.exchange_count) },
         }
     }
 
@@ -330,7 +335,7 @@
         }
     }
 
-    /// Sends a request on a new connection, which is closed some time after the request's deadline.
+    /// Sends a request on a new connection, which is closed `CLOSE_DELAY` after the request's deadline.
     async fn send_on_new_connection(self: Rc<Self>, request: Request, pace: Pace) {
         let (call_id, ring_limit) = (request.call_id.clone(), request.ring_limit);
         let Ok(stream) = TcpStream::connect(self.router_address).await else {
@@ -340,7 +345,7 @@
         self.send(number, Outgoing::Request(request, pace));
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            sleep(ring_limit + Duration::from_millis(2800)).await;
+            sleep(ring_limit + CLOSE_DELAY).await;
             clients.send(number, Outgoing::Close);
         });
         running.await;
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -56,6 +56,7 @@
     AttemptEnded(String, AttemptOutcome),
 }
 
+/// A call as the exchange knows it, from its set-up to its end.
 #[derive(Debug, Clone, Copy)]
 struct CallState {
     connection: u64,
@@ -495,6 +496,8 @@
         self.connections.borrow().get(&number).is_some_and(|sender| sender.send(outgoing).is_ok())
     }
 
+    /// Responds to a set-up after a random delay: up to 4 % of the first class's deadline, or up to 30 % for
+    /// one set-up in ten, where the deadline counts as 2 s at most.
     fn handle_set_up(&self, call_id: String, number: u64) {
         self.calls
             .borrow_mut()
@@ -518,6 +521,9 @@
         });
     }
 
+    /// Responds to a set-up by `draw`, a random number from 0 to 1. Below 0.06 the set-up is refused, fails
+    /// or is reset; a share of `faulty_answer_share` above that gets a faulty answer; all others are
+    /// answered.
     async fn respond(self: Rc<Self>, call_id: String, number: u64, draw: f64) {
         let finish_line = |rc: u32, note: &str| {
             json!({"verb": "FINISH", "tag": call_id,
@@ -541,6 +547,7 @@
         }
     }
 
+    /// Answers a call and releases it after a random time.
     fn answer_call(self: Rc<Self>, call_id: String, number: u64) {
         let line = self.started_line(&call_id);
         self.send(
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -57,6 +57,7 @@
     Stop,
 }
 
+/// The parts of a run in progress.
 struct Run {
     scenario: Rc<Scenario>,
     checker: Rc<RefCell<RuleChecker>>,
