--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -58,7 +58,7 @@
     /// The number does not exist, or none of its records leads to a host that is served here.
     NotFound,
     /// The look-up failed or took too long.
-    Unknown,
+    Failed,
 }
 
 /// Where the result of a look-up goes.
@@ -94,7 +94,7 @@
     resolver_queries: HashSet<(SocketAddr, u16)>,
     /// Name that each pending look-up asks for.
     names: HashMap<CallId, Name>,
-    /// Answers of upstream servers that the core has not concluded yet.
+    /// Answers of upstream servers that their requesters have not been given yet.
     results: HashMap<CallId, LookUpResult>,
     upstreams: BTreeMap<ExchangeId, Upstream>,
     last_number: u64,
@@ -200,7 +200,7 @@
     }
 
     /// Starts a look-up.
-    fn begin(&mut self, requester: Requester, class: usize, name: Name, remaining: Duration) {
+    fn start_look_up(&mut self, requester: Requester, class: usize, name: Name, remaining: Duration) {
         self.last_number += 1;
         let id = CallId(format!("{:016x}", self.last_number).into());
         let number: Arc<str> = name.to_string().into();
@@ -253,7 +253,7 @@
         }
         self.resolver_queries.insert((from, id));
         let within = self.config.answer_within;
-        self.begin(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
+        self.start_look_up(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
     }
 
     fn send_to_resolver(&self, to: SocketAddr, bytes: &[u8]) {
@@ -286,16 +286,16 @@
             }
             Effect::Answer { call, .. } => {
                 let result = self.results.remove(&call);
-                self.conclude(&call, result);
+                self.finish_look_up(&call, result);
             }
-            Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
+            Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.finish_look_up(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
             Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::Broadcast(_) => {}
         }
     }
 
     /// Gives the requester of a look-up its only answer; `None` if the look-up failed.
-    fn conclude(&mut self, call: &CallId, result: Option<LookUpResult>) {
+    fn finish_look_up(&mut self, call: &CallId, result: Option<LookUpResult>) {
         self.names.remove(call);
         match self.requesters.remove(call) {
             Some(Requester::Resolver { from, query }) => {
@@ -455,12 +455,12 @@
             {
                 let mut front_end = front_end.borrow_mut();
                 if front_end.requesters.len() >= front_end.config.max_look_ups {
-                    return Resolution::Unknown;
+                    return Resolution::Failed;
                 }
                 let remaining = deadline.saturating_duration_since(tokio::time::Instant::now());
-                front_end.begin(Requester::Call(sender), CALL_CLASS, name.clone(), remaining);
+                front_end.start_look_up(Requester::Call(sender), CALL_CLASS, name.clone(), remaining);
             }
-            let Ok(Some(result)) = receiver.await else { return Resolution::Unknown };
+            let Ok(Some(result)) = receiver.await else { return Resolution::Failed };
             let targets = dns::targets(&result.records, &e164_number);
             // Hosts that are not served here are skipped. A name that refers to itself ends the search.
             let front_end = front_end.borrow();
@@ -476,7 +476,7 @@
         }
         Resolution::NotFound
     };
-    tokio::time::timeout(time_limit, search).await.unwrap_or(Resolution::Unknown)
+    tokio::time::timeout(time_limit, search).await.unwrap_or(Resolution::Failed)
 }
 
 /// Receives resolvers' queries on a socket.
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -166,7 +166,7 @@
     }
 
     /// Sends a set-up, or queues it and makes a connect due at once.
-    pub fn start(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
+    pub fn send_set_up(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
         match self.best_connection().filter(|c| !c.is_retired) {
             Some(connection) => {
                 connection.writes.enqueue(&bytes);
@@ -181,7 +181,7 @@
     }
 
     /// Cancels a set-up or releases a call, on the connection of its set-up if that is open, else on any.
-    pub fn finish(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
+    pub fn send_release(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
         let queued = self.queue.len();
         self.queue.retain(|(id, _)| id.as_ref() != Some(call));
         if queued != self.queue.len() {
--- a/src/net/platform/clients.rs
+++ b/src/net/platform/clients.rs
@@ -195,7 +195,7 @@
                     platform.core.handle_request(now, request);
                 }
                 Resolution::NotFound => platform.answer_unrouted(&id, 404),
-                Resolution::Unknown => platform.answer_unrouted(&id, 503),
+                Resolution::Failed => platform.answer_unrouted(&id, 503),
             }
             platform.flush();
         });
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -27,7 +27,7 @@
                     "left_ms" => remaining.as_millis());
                 self.metrics.count_attempt();
                 if let Some(pool) = self.pools.get_mut(&exchange) {
-                    pool.start(now, &call, bytes);
+                    pool.send_set_up(now, &call, bytes);
                 }
                 self.connect_if_needed(&exchange);
             }
@@ -38,12 +38,12 @@
                 match exchange {
                     Some(exchange) => {
                         if let Some(pool) = self.pools.get_mut(&exchange) {
-                            pool.finish(now, &call, bytes);
+                            pool.send_release(now, &call, bytes);
                         }
                     }
                     None => {
                         for pool in self.pools.values_mut().filter(|pool| pool.is_listed()) {
-                            pool.finish(now, &call, bytes.clone());
+                            pool.send_release(now, &call, bytes.clone());
                         }
                     }
                 }
--- a/tests/exchange_pool.rs
+++ b/tests/exchange_pool.rs
@@ -48,10 +48,10 @@
 #[test]
 fn an_exchange_that_is_no_longer_listed_keeps_no_releases_and_gets_no_connects() {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
-    pool.finish(ms(1000), &CallId("a".into()), vec![1]);
+    pool.send_release(ms(1000), &CallId("a".into()), vec![1]);
     assert!(pool.should_connect(ms(2000), false) && !pool.is_removable());
     pool.set_listed(ms(2000), false);
-    pool.finish(ms(2100), &CallId("b".into()), vec![2]);
+    pool.send_release(ms(2100), &CallId("b".into()), vec![2]);
     assert!(!pool.should_connect(ms(3000), true) && pool.is_removable());
 }
 
@@ -125,7 +125,7 @@
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
     pool.on_connected(ms(1000), ConnectionId(1), idle.clone());
     pool.on_connected(ms(1010), ConnectionId(2), busy.clone());
-    pool.start(ms(1020), &CallId("a".into()), b"set-up".to_vec());
+    pool.send_set_up(ms(1020), &CallId("a".into()), b"set-up".to_vec());
     pool.set_listed(ms(1100), false);
     pool.sweep(ms(1150));
     assert!(!idle.is_open() && busy.is_open(), "the open set-up is awaited");
@@ -159,8 +159,8 @@
 #[test]
 fn taking_back_queued_set_ups_leaves_queued_releases() {
     let mut pool = ExchangePool::new(([127, 0, 0, 1], 1).into(), ms(250));
-    pool.start(ms(1000), &CallId("a".into()), b"set-up".to_vec());
-    pool.finish(ms(1000), &CallId("b".into()), b"release".to_vec());
+    pool.send_set_up(ms(1000), &CallId("a".into()), b"set-up".to_vec());
+    pool.send_release(ms(1000), &CallId("b".into()), b"release".to_vec());
     assert_eq!(pool.take_queued_set_ups(), [CallId("a".into())]);
     assert!(pool.take_queued_set_ups().is_empty() && !pool.is_removable(), "the release still waits");
 }
