--- a/src/net/client_connections.rs
+++ b/src/net/client_connections.rs
@@ -50,10 +50,12 @@
         }
     }
 
+    /// Returns whether the connection is open and is not to be closed.
     fn is_open(&self) -> bool {
         self.writes.is_open() && self.requested_close.is_none()
     }
 
+    /// Returns whether the connection is open and has no open request.
     fn is_idle(&self) -> bool {
         self.open_requests.is_empty() && self.is_open()
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -208,6 +208,7 @@
         self.close(reason);
     }
 
+    /// Counts bytes that were added to the unsent ones or removed from them, here and in the shared budget.
     fn account(&self, added: usize, removed: usize) {
         self.unsent.set(self.unsent.get() + added - removed);
         self.budget.used.set(self.budget.used.get() + added - removed);
@@ -222,6 +223,7 @@
         }
     }
 
+    /// Records why the connection is closing; the first reason is kept.
     fn mark_closing(&self, reason: CloseReason) {
         self.close_reason.set(self.close_reason.get().or(Some(reason)));
     }
@@ -277,6 +279,7 @@
 }
 
 impl<F: FnMut(&[u8]) -> ControlFlow<()>> Connection<'_, F> {
+    /// Reads and writes until the connection ends or the buffer is closed.
     async fn run(&mut self) -> io::Result<()> {
         let mut input = vec![0; READ_SIZE];
         while self.writes.is_open() {
@@ -309,6 +312,7 @@
         self.written < self.output.len()
     }
 
+    /// Takes the queued bytes as the next output, unless bytes of the last output are still unwritten.
     fn take_queued(&mut self) {
         if self.has_output() {
             return;
@@ -343,6 +347,8 @@
         Ok(())
     }
 
+    /// Writes the queued bytes and reads the bytes that have arrived, in turn, until none arrive or after
+    /// `MAX_FINAL_READS` times.
     async fn flush_and_read_available(&mut self, input: &mut [u8]) -> io::Result<()> {
         for _ in 0..MAX_FINAL_READS {
             self.flush().await?;
@@ -353,6 +359,7 @@
         self.flush().await
     }
 
+    /// Passes bytes to `on_bytes`, which decides whether more are read.
     fn deliver(&mut self, bytes: &[u8]) {
         self.is_reading = (self.on_bytes)(bytes).is_continue();
     }
@@ -369,6 +376,7 @@
         }
     }
 
+    /// Writes all queued bytes.
     async fn flush(&mut self) -> io::Result<()> {
         loop {
             self.take_queued();
@@ -393,6 +401,7 @@
         has_read
     }
 
+    /// Reads and drops bytes until the peer closes its side.
     async fn discard(&mut self, input: &mut [u8]) {
         while let Ok(1..) = self.reader.read(input).await {}
     }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -256,6 +256,7 @@
         self.start_look_up(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
     }
 
+    /// Sends a response; nothing is sent if no address for queries is configured.
     fn send_to_resolver(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.socket {
             if let Err(e) = socket.try_send_to(bytes, to) {
@@ -276,6 +277,7 @@
         self.timers_changed.notify_one();
     }
 
+    /// Executes one effect of the core.
     fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::SendSetUp { exchange, call, remaining, .. } => {
@@ -334,6 +336,8 @@
         upstream.queries.insert(call.clone(), task.abort_handle());
     }
 
+    /// Handles the result of a query to an upstream server: the core then answers the look-up or queries
+    /// another server.
     fn on_reply(&mut self, exchange: &ExchangeId, call: &CallId, reply: Result<Message, QueryError>) {
         self.end_query(exchange, call);
         let now = self.clock.now();
@@ -407,6 +411,7 @@
     Ok(query_over_tcp(upstream, name).await.unwrap_or(reply))
 }
 
+/// Sends the query over TCP and returns the reply.
 async fn query_over_tcp(upstream: SocketAddr, name: &Name) -> Result<Message, QueryError> {
     let unreachable = |_: io::Error| QueryError::Unreachable;
     let mut stream = TcpStream::connect(upstream).await.map_err(unreachable)?;
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -160,6 +160,8 @@
         self.connections.len()
     }
 
+    /// Returns the open connection on which to send: preferably one that is neither retired nor silent, and
+    /// of those the one that received a message last.
     fn best_connection(&mut self) -> Option<&mut PooledConnection> {
         let open = self.connections.iter_mut().filter(|c| c.writes.is_open());
         open.max_by_key(|c| (!c.is_retired, c.silent_since.is_none(), c.last_received_at, c.id))
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -17,6 +17,7 @@
         self.timers_changed.notify_one();
     }
 
+    /// Executes one effect of the core.
     pub(super) fn execute(&mut self, effect: Effect) {
         let now = self.clock.now();
         match effect {
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -89,6 +89,7 @@
 }
 
 impl UnconfirmedRelease {
+    /// Returns the time at which the release is to be repeated.
     fn retry_at(&self) -> Duration {
         self.sent_at + RELEASE_RETRY * (1 << (self.send_count - 1).min(MAX_RELEASE_SENDS))
     }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -113,6 +113,7 @@
     tokio::task::spawn_local(run_client(platform.clone(), client, stream, writes));
 }
 
+/// Reads and writes on a client connection until it ends.
 async fn run_client(platform: Handle, client: u64, stream: TcpStream, writes: SharedWriteBuffer) {
     let mut decoder = sip::Decoder::default();
     let result = connection::run_connection(stream, &writes, |bytes| {
--- a/src/net/standby.rs
+++ b/src/net/standby.rs
@@ -75,6 +75,7 @@
         }
     }
 
+    /// Handles an advertisement; it is discarded if its sender is not a peer.
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
         if !self.peers.borrow().contains(&from) {
             return debug!(self.log, "advertisement discarded"; "from" => %from, "reason" => "unknown sender");
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -363,6 +363,7 @@
 
     // ---- directory and load reports ------------------------------------------------------------
 
+    /// Applies a directory update.
     fn on_directory_update(&mut self, kind: UpdateKind, entries: &Arc<Vec<DirectoryEntry>>) {
         // The request is repeated at the end of the cycle, so that a directory that refuses is not flooded
         // with requests.
@@ -741,7 +742,7 @@
         }
     }
 
-    /// Remembers the number of a call that ends without being established, to recognise its redial.
+    /// Remembers the number of a call that ends without being established, to recognize its redial.
     fn remember_for_redial(&mut self, call: &Call) {
         if !call.is_established && !call.offered.is_transit {
             self.redials.insert(call.offered.called_number.clone(), call.first_dialled_at);
