--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -171,10 +171,12 @@
 }
 
 impl Call {
+    /// Returns whether the router owes an answer to the request.
     fn is_open(&self) -> bool {
         self.sent_at.is_some() && self.answer.is_none() && !self.cancelled && !self.excused
     }
 
+    /// Returns whether an attempt of the call may have run at an exchange.
     fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|a| !matches!(a.outcome, Some((_, AttemptOutcome::NotRun))))
     }
@@ -187,6 +189,7 @@
 }
 
 impl Kill {
+    /// Returns whether a request sent at this time need not be answered, since the process was killed.
     fn excuses(self, sent_at: Instant) -> bool {
         self.terminated_at.is_none_or(|terminated_at| sent_at <= terminated_at + SIGTERM_EXCUSE_WINDOW)
     }
@@ -438,6 +441,7 @@
         }
     }
 
+    /// Reports a set-up that was sent after the drain grace of its exchange.
     fn check_drain(&mut self, exchange: u32, first_byte_at: Instant, id: &str) {
         let notified_at = self
             .drain_notified_at
--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -130,6 +130,8 @@
         (number, self.run_connection(stream, number, receiver))
     }
 
+    /// Reads and writes on a connection until it closes, then sends the requests that crossed the close
+    /// again.
     async fn run_connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -154,6 +156,8 @@
         }
     }
 
+    /// Writes queued items. Returns `true` once the client closes or resets the connection. After a write
+    /// error it never returns, since messages of the router may still be read.
     async fn write_messages(
         &self,
         writer: &mut OwnedWriteHalf,
@@ -255,6 +259,8 @@
         }
     }
 
+    /// Draws whether the client hangs up an established call. A call that it has cancelled is hung up at
+    /// once.
     fn schedule_hang_up(&self, call_id: String, number: u64) {
         let is_cancelled = self.checker.borrow().is_cancelled(&call_id);
         let (hangs_up, after) = {
@@ -284,6 +290,7 @@
         });
     }
 
+    /// Sends requests at random intervals, at the mean rate of the scenario.
     async fn generate_requests(self: Rc<Self>) {
         while self.is_active.get() {
             let gap = -self.rng.borrow_mut().f64().max(1e-9).ln() / self.scenario.requests_per_s;
@@ -292,6 +299,7 @@
         }
     }
 
+    /// Draws a request.
     fn draw_request(&self) -> Request {
         let mut rng = self.rng.borrow_mut();
         let classes = &self.scenario.rules.classes;
@@ -369,6 +377,7 @@
         sleep(Duration::from_secs(4)).await;
     }
 
+    /// Starts a client that violates the protocol every 50 to 500 ms.
     async fn run_bad_clients(self: Rc<Self>) {
         while self.is_active.get() {
             let (pause, kind) = {
@@ -381,6 +390,7 @@
         }
     }
 
+    /// Sends a message that violates the protocol, and checks that the router refuses it or disconnects.
     async fn run_bad_client(&self, kind: u8) {
         let Ok(mut stream) = TcpStream::connect(self.router_address).await else { return };
         let connected_at = Instant::now();
@@ -406,6 +416,7 @@
     }
 }
 
+/// Returns the message that a bad client of this kind sends.
 fn bad_client_message(kind: u8, call_id: &str) -> String {
     let invite = |headers: &str, body: &str| {
         format!("INVITE sip:1@net SIP/2.0\r\nCall-ID: {call_id}\r\nCSeq: 1 INVITE\r\n{headers}\r\n{body}")
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -168,6 +168,7 @@
         }
     }
 
+    /// Accepts connections at the address with this number until another address replaces it.
     async fn accept_connections(self: Rc<Self>, listener: TcpListener, address: SocketAddr, number: u32) {
         let mut listener = Some(listener);
         while *self.current_address.borrow() == number {
@@ -184,6 +185,7 @@
         }
     }
 
+    /// Sends events on a connection until it breaks or its address is replaced.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream, number: u32) {
         let (mut generation, mut current) =
             (self.connection_generation.subscribe(), self.current_address.subscribe());
@@ -227,6 +229,7 @@
         }
     }
 
+    /// Writes a frame in one piece or several, or breaks off in the middle if that was requested.
     async fn write_frame(&self, stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
         if self.breaks_next_frame.take() {
             stream.write_all(&frame[..frame.len() / 2]).await?;
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -242,6 +242,7 @@
 
     // ---- the network ------------------------------------------------------------------------------
 
+    /// Accepts connections; while a fault requires it, leaves them pending or stops listening.
     async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         let mut listener = Some(listener);
         let mut fillers: Vec<TcpStream> = Vec::new();
@@ -305,6 +306,7 @@
         tokio::task::spawn_local(self.run_connection(stream, number, receiver));
     }
 
+    /// Reports a violation if the router keeps too many connections open.
     async fn check_connection_count(self: Rc<Self>) {
         if self.connections.borrow().len() <= MAX_CONNECTIONS {
             return;
@@ -346,6 +348,7 @@
         ExchangeConnection { node: self.node, number }
     }
 
+    /// Reads the messages of the router. While the network is cut off, they are held back.
     async fn read_lines(&self, reader: &mut OwnedReadHalf, number: u64) {
         let (mut bytes, mut input) = (Vec::new(), vec![0; 8192]);
         let mut held_messages: Vec<Value> = Vec::new();
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -133,6 +133,7 @@
         self.checker.borrow_mut().record_event(text);
     }
 
+    /// Carries out the timeline of the scenario, then stops new requests.
     async fn run_timeline(self: Rc<Self>, commands: &mpsc::UnboundedSender<SupervisorCommand>) {
         let started_at = Instant::now();
         for (at, step) in self.scenario.timeline.clone() {
@@ -155,6 +156,7 @@
         self.clients.stop_requests();
     }
 
+    /// Applies a fault and, if it has a duration, ends it after that.
     async fn apply_fault(self: Rc<Self>, step: Step) {
         match step {
             Step::DiscoverySilent(length) => return self.coordinator.stop_sending(length).await,
@@ -243,6 +245,7 @@
         RouterProcess::start(&self.program, config.path(), &self.log_path)
     }
 
+    /// Starts and stops the router as the commands request, until the command to stop for good.
     async fn supervise(
         self: Rc<Self>,
         mut commands: mpsc::UnboundedReceiver<SupervisorCommand>,
@@ -290,6 +293,7 @@
         }
     }
 
+    /// Sends SIGTERM, and SIGKILL at the earliest time that the rules allow if the process still runs then.
     async fn terminate(&self, router: &mut RouterProcess, twice: bool) {
         let longest_deadline =
             self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
@@ -330,6 +334,7 @@
         false
     }
 
+    /// Reloads the configuration several times, each time with another address of the coordinator.
     async fn reload(&self, router: &RouterProcess, count: u32, gap: Duration) -> io::Result<()> {
         for _ in 0..count {
             let address = self.coordinator.open_address().await?;
@@ -378,6 +383,7 @@
         sleep(Duration::from_secs(1)).await;
     }
 
+    /// Returns whether the router answers OPTIONS with 200.
     async fn passes_health_check(&self) -> io::Result<bool> {
         let mut stream = TcpStream::connect(self.listen_address).await?;
         stream.write_all(&sip::request("OPTIONS", "ping", "0", "", "")).await?;
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -194,6 +194,7 @@
         scenario
     }
 
+    /// Adds a step to the timeline, unless it lies after the active time.
     fn add_step(&mut self, at: Duration, step: Step) {
         if at < self.active_time {
             self.timeline.push((at, step));
@@ -223,6 +224,7 @@
         }
     }
 
+    /// Draws a fault of an exchange other than the router's own.
     fn draw_exchange_fault(&self, rng: &mut Rng) -> Step {
         let node = rng.u32(1..self.exchange_count);
         let length = draw_duration(rng, 300, 4000);
@@ -242,6 +244,7 @@
         }
     }
 
+    /// Draws faults of exchanges and of the coordinator, reloads, and a crowd of idle connections.
     fn draw_faults(&mut self, rng: &mut Rng) {
         for _ in 0..rng.u32(1..=4) {
             let at = draw_duration(rng, 300, self.active_time.as_millis() as u64);
--- a/src/protocol/dns.rs
+++ b/src/protocol/dns.rs
@@ -417,6 +417,7 @@
     sorted.into_iter().filter_map(|r| target(r, number)).collect()
 }
 
+/// Returns the target of a record, or `None` if the record is not usable.
 fn target(record: &Naptr, number: &str) -> Option<Target> {
     if record.flags.is_empty() {
         // A usable non-terminal record has a replacement and no expression.
--- a/src/protocol/jsonl.rs
+++ b/src/protocol/jsonl.rs
@@ -94,6 +94,7 @@
     }
 }
 
+/// Parses a line, which must hold one valid message.
 fn parse_message(line: &[u8]) -> Result<Message, &'static str> {
     let text = std::str::from_utf8(line).map_err(|_| "line is not UTF-8")?;
     let mut parser = Parser { text, position: 0 };
--- a/src/protocol/vrrp.rs
+++ b/src/protocol/vrrp.rs
@@ -143,10 +143,12 @@
         self.timer_expiry
     }
 
+    /// Returns Skew_Time (RFC 9568, section 6.1).
     fn skew_time(&self) -> Duration {
         CENTISECOND * u32::from(self.active_interval_cs) * (256 - u32::from(self.config.priority)) / 256
     }
 
+    /// Returns Active_Down_Interval (RFC 9568, section 6.1).
     fn active_down_interval(&self) -> Duration {
         3 * CENTISECOND * u32::from(self.active_interval_cs) + self.skew_time()
     }
