--- a/emulator/src/checker.rs
+++ b/emulator/src/checker.rs
@@ -572,7 +572,7 @@
         }
     }
 
-    // ---- directory and processes ------------------------------------------------------------------
+    // ---- membership and processes -----------------------------------------------------------------
 
     /// Records that the router counts as informed of an exchange's draining or removal from `at` on. An
     /// earlier time that was recorded before stays.
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! An emulated coordinator. It sends numbered directory events in frames, and can go silent, go down, break
+//! An emulated coordinator. It sends numbered membership events in frames, and can go silent, go down, break
 //! off in the middle of a frame and move to another address.
 
 use std::cell::{Cell, RefCell};
@@ -25,7 +25,7 @@
 /// Time from a move to another address until the connections at the old address are closed.
 const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// State of an exchange in the directory.
+/// State of an exchange in the membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeState {
     /// The exchange takes calls.
@@ -36,9 +36,9 @@
     Gone,
 }
 
-/// Change of one exchange in the directory.
+/// Change of one exchange in the membership.
 #[derive(Debug, Clone)]
-pub struct DirectoryEvent {
+pub struct MembershipEvent {
     /// Number of the event.
     pub number: u64,
     /// Id of the exchange.
@@ -64,7 +64,7 @@
 pub struct Coordinator {
     checker: Rc<RefCell<RuleChecker>>,
     /// Events since the start of the run, in order.
-    pub events: RefCell<Vec<DirectoryEvent>>,
+    pub events: RefCell<Vec<MembershipEvent>>,
     mode: Cell<Mode>,
     /// Number of the address in use; connections to other addresses are closed.
     current_address: watch::Sender<u32>,
@@ -113,9 +113,9 @@
     /// Publishes the state of an exchange as the next event.
     pub fn publish(&self, id: u32, node: u32, address: SocketAddr, state: ExchangeState, started_ms: u64) {
         let number = self.last_event_number() + 1;
-        self.events.borrow_mut().push(DirectoryEvent { number, id, node, address, state, started_ms });
+        self.events.borrow_mut().push(MembershipEvent { number, id, node, address, state, started_ms });
         let mut checker = self.checker.borrow_mut();
-        checker.record_event(format!("directory event {number}: s-{id:08x} at node {node} {state:?}"));
+        checker.record_event(format!("membership {number}: s-{id:08x} at node {node} {state:?}"));
         match state {
             ExchangeState::Ready => checker.on_listed_ready(id),
             _ if self.mode.get() == Mode::Serving => {
@@ -153,7 +153,7 @@
     /// Returns the ids of the exchanges that are draining or gone now.
     pub fn out_of_service(&self) -> Vec<u32> {
         let events = self.events.borrow();
-        let is_latest = |e: &&DirectoryEvent| {
+        let is_latest = |e: &&MembershipEvent| {
             events.iter().rev().find(|other| other.id == e.id).is_some_and(|other| other.number == e.number)
         };
         events.iter().filter(is_latest).filter(|e| e.state != ExchangeState::Ready).map(|e| e.id).collect()
@@ -262,7 +262,7 @@
 }
 
 /// Encodes a frame with one record: its length, the event number, the kind 2 and the 27 bytes of the record.
-fn event_frame(event: &DirectoryEvent) -> Vec<u8> {
+fn event_frame(event: &MembershipEvent) -> Vec<u8> {
     let mut frame = 36_u32.to_be_bytes().to_vec();
     frame.extend(event.number.to_be_bytes());
     frame.push(2);
--- a/emulator/src/exchange.rs
+++ b/emulator/src/exchange.rs
@@ -144,7 +144,7 @@
         Ok(exchange)
     }
 
-    /// Returns the exchange's id in the directory.
+    /// Returns the exchange's id in the membership.
     pub fn id(&self) -> u32 {
         self.id.get()
     }
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -207,8 +207,8 @@
 
     // ---- the router process -----------------------------------------------------------------------
 
-    /// Returns the directory for the `known` key of a start: every exchange that is not gone.
-    fn initial_directory(&self) -> Value {
+    /// Returns the membership for the `known` key of a start: every exchange that is not gone.
+    fn initial_membership(&self) -> Value {
         let mut hosts = Vec::new();
         let events = self.coordinator.events.borrow();
         for exchange in &self.exchanges {
@@ -233,7 +233,7 @@
 
     fn start_router(&self) -> io::Result<RouterProcess> {
         let mut config = self.config.borrow_mut();
-        let known = self.initial_directory();
+        let known = self.initial_membership();
         config.set("known", known);
         config.write()?;
         let out_of_service: BTreeSet<u32> = self.coordinator.out_of_service().into_iter().collect();
--- a/src/bin/quartzspindle-adapter/main.rs
+++ b/src/bin/quartzspindle-adapter/main.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quartzspindle::interface::{Action, DirectoryEntry, Event};
+use quartzspindle::interface::{Action, Event, Member};
 use quartzspindle::Controller;
 use serde_json::{json, Value};
 
@@ -23,8 +23,8 @@
     /// Controllers by instance name (`SoftswitchId`); `None` after a controller panicked or rejected its
     /// settings. Events for such an instance are ignored.
     controllers: BTreeMap<String, Option<Controller>>,
-    /// Directories by number (`Ref`), to which `Announce` events refer.
-    directories: BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
+    /// Memberships by number (`Ref`), to which `Announce` events refer.
+    memberships: BTreeMap<u64, Arc<Vec<Member>>>,
 }
 
 impl Adapter {
@@ -44,9 +44,10 @@
     fn handle_event(&mut self, value: Value, now: Duration, orders: &mut Vec<Value>) -> Result<(), String> {
         let op = value.get("op").and_then(Value::as_str).ok_or("missing or invalid field `op`")?.to_owned();
         if op == "Directory" {
-            let directory: wire::Directory = deserialize_without_nulls(value)?;
-            let entries = directory.rows.into_iter().map(wire::parse_entry).collect::<Result<Vec<_>, _>>()?;
-            self.directories.insert(directory.directory_number, Arc::new(entries));
+            let membership: wire::Membership = deserialize_without_nulls(value)?;
+            let members =
+                membership.rows.into_iter().map(wire::parse_member).collect::<Result<Vec<_>, _>>()?;
+            self.memberships.insert(membership.membership_number, Arc::new(members));
             return Ok(());
         }
         if !wire::INSTANCE_EVENTS.contains(&op.as_str()) {
@@ -74,7 +75,7 @@
                 self.controllers.remove(&name);
             }
             _ => {
-                let event = wire::parse_event(&op, value, &self.directories)?;
+                let event = wire::parse_event(&op, value, &self.memberships)?;
                 let Some(instance) = self.controllers.get_mut(&name) else {
                     return Ok(());
                 };
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -30,16 +30,16 @@
     pub happened: Vec<Value>,
 }
 
-/// Directory, to which later `Announce` events refer by its number.
+/// Membership, to which later `Announce` events refer by its number.
 #[derive(Deserialize)]
-pub struct Directory {
+pub struct Membership {
     #[serde(rename = "Ref")]
-    pub directory_number: u64,
+    pub membership_number: u64,
     #[serde(rename = "RowsIn")]
     pub rows: Vec<Row>,
 }
 
-/// Row of a directory.
+/// Row of a membership.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
@@ -50,15 +50,15 @@
     campus: Option<u32>,
 }
 
-/// Translates a row of a directory.
-pub fn parse_entry(row: Row) -> Result<DirectoryEntry, String> {
+/// Translates a row of a membership.
+pub fn parse_member(row: Row) -> Result<Member, String> {
     let health = match row.health.as_str() {
         "live" => Health::Live,
         "quiescing" => Health::Draining,
         "dead" => Health::Gone,
         other => return Err(format!("unknown Health {other:?}")),
     };
-    Ok(DirectoryEntry {
+    Ok(Member {
         exchange: ExchangeId(row.exchange),
         node: NodeNumber(row.place_no),
         zone: row.campus.unwrap_or(0),
@@ -285,20 +285,20 @@
             probe: penalties.probe.unwrap_or(0.0),
             peer_message: penalties.peer.unwrap_or(0.0),
         },
-        directory_polled: info.registry_mode.as_deref() == Some("ask"),
+        membership_polled: info.registry_mode.as_deref() == Some("ask"),
         redials_flagged: info.clients.marks_retry.unwrap_or(false),
         has_route_advice: domain.advice.unwrap_or(false),
         tick: duration_or_zero(info.tick_ns),
     })
 }
 
-/// Update of the directory.
+/// Update of the membership.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Announce {
     mode: String,
     #[serde(rename = "Ref")]
-    directory_number: Option<u64>,
+    membership_number: Option<u64>,
 }
 
 /// Call that a caller asks for, see [`OfferedCall`].
@@ -393,11 +393,11 @@
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
-/// Translates an event for a controller. `directories` holds the directories given so far.
+/// Translates an event for a controller. `memberships` holds the memberships given so far.
 pub fn parse_event(
     op: &str,
     value: Value,
-    directories: &BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
+    memberships: &BTreeMap<u64, Arc<Vec<Member>>>,
 ) -> Result<Event, String> {
     Ok(match op {
         "Announce" => {
@@ -409,17 +409,17 @@
                 "error" => UpdateKind::Failed,
                 other => return Err(format!("unknown Mode {other:?}")),
             };
-            let entries = match (kind, announcement.directory_number.and_then(|n| directories.get(&n))) {
+            let members = match (kind, announcement.membership_number.and_then(|n| memberships.get(&n))) {
                 (UpdateKind::Failed, _) => Arc::default(),
-                (_, Some(entries)) => Arc::clone(entries),
+                (_, Some(members)) => Arc::clone(members),
                 (_, None) => {
                     return Err(format!(
-                        "Announce refers to an unknown directory: Ref {:?}",
-                        announcement.directory_number
+                        "Announce refers to an unknown membership: Ref {:?}",
+                        announcement.membership_number
                     ))
                 }
             };
-            Event::DirectoryUpdate { kind, entries }
+            Event::MembershipUpdate { kind, members }
         }
         "Query" => {
             let query: Query = deserialize(value)?;
--- a/src/call/core.rs
+++ b/src/call/core.rs
@@ -12,8 +12,8 @@
 use super::exchanges::Exchanges;
 use super::timers::TimerQueue;
 use crate::interface::{
-    Action, AttemptStatus, CallId, DirectoryEntry, Event, ExchangeId, FailureCause, OfferedCall, Outcome,
-    TimerToken, UpdateKind,
+    Action, AttemptStatus, CallId, Event, ExchangeId, FailureCause, Member, OfferedCall, Outcome, TimerToken,
+    UpdateKind,
 };
 use crate::Controller;
 
@@ -191,11 +191,11 @@
         }
     }
 
-    /// Applies an update of the exchange directory.
-    pub fn update_directory(&mut self, now: Duration, kind: UpdateKind, entries: Vec<DirectoryEntry>) {
+    /// Applies an update of the membership.
+    pub fn update_membership(&mut self, now: Duration, kind: UpdateKind, members: Vec<Member>) {
         self.advance_clock(now);
-        let removed = self.exchanges.apply(kind, &entries);
-        self.events.push_back(Event::DirectoryUpdate { kind, entries: Arc::new(entries) });
+        let removed = self.exchanges.apply(kind, &members);
+        self.events.push_back(Event::MembershipUpdate { kind, members: Arc::new(members) });
         self.process_events();
         // A process that has ended can't release its calls, so they would stay established forever. A process
         // that has restarted releases its earlier calls itself on the next connection, and calls that are
@@ -465,7 +465,7 @@
             }
             Action::Broadcast(text) => self.effects.push(Effect::Broadcast(text)),
             Action::Log(line) => self.effects.push(Effect::Log(line)),
-            // The directory is pushed to the router, and exchanges offer no probe.
+            // The membership is pushed to the router, and exchanges offer no probe.
             Action::Subscribe | Action::Probe(_) => {}
         }
     }
--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -1,13 +1,13 @@
-//! The exchanges in the directory, and the nodes that they serve.
+//! The exchanges in the membership, and the nodes that they serve.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::{DirectoryEntry, ExchangeId, Health, NodeNumber, Settings, Topology, UpdateKind};
+use crate::interface::{ExchangeId, Health, Member, NodeNumber, Settings, Topology, UpdateKind};
 
-/// Listed exchanges with their latest directory entries, and the nodes that calls can go to.
+/// The exchanges in the membership as last updated, and the nodes that calls can go to.
 #[derive(Debug, Default)]
 pub struct Exchanges {
-    entries: BTreeMap<ExchangeId, DirectoryEntry>,
+    members: BTreeMap<ExchangeId, Member>,
     /// Every node that was ever listed or that the settings name. None is ever removed; they stay few,
     /// since a replaced exchange keeps its node number.
     nodes: BTreeSet<NodeNumber>,
@@ -16,7 +16,7 @@
 }
 
 impl Exchanges {
-    /// Creates an empty directory; the nodes that the settings name are served already.
+    /// Creates an empty membership; the nodes that the settings name are served already.
     ///
     /// In a mesh each router has its own exchange with the same number, so that every number below the size
     /// of the fleet is a node.
@@ -24,31 +24,31 @@
         let meshed = matches!(settings.topology, Topology::Meshed(_));
         let nodes = settings.classes.iter().flat_map(|class| class.pools.iter().copied()).collect();
         let meshed_node_count = if meshed { settings.fleet_size } else { 0 };
-        Self { entries: BTreeMap::new(), nodes, meshed_node_count }
+        Self { members: BTreeMap::new(), nodes, meshed_node_count }
     }
 
-    /// Applies a directory update; returns the exchanges that are no longer listed.
-    pub fn apply(&mut self, kind: UpdateKind, entries: &[DirectoryEntry]) -> Vec<ExchangeId> {
+    /// Applies a membership update; returns the exchanges that are no longer listed.
+    pub fn apply(&mut self, kind: UpdateKind, members: &[Member]) -> Vec<ExchangeId> {
         let replaces_all = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
-        let listed = |id: &ExchangeId| entries.iter().any(|e| e.exchange == *id);
-        let before: Vec<ExchangeId> = self.entries.keys().cloned().collect();
+        let listed = |id: &ExchangeId| members.iter().any(|e| e.exchange == *id);
+        let before: Vec<ExchangeId> = self.members.keys().cloned().collect();
         // A replaced exchange comes back under a new id, so memory would grow without bound if old ids were
         // kept.
-        self.entries.retain(|id, _| !replaces_all || listed(id));
-        for entry in entries {
-            self.nodes.insert(entry.node);
-            if entry.health == Health::Gone {
-                self.entries.remove(&entry.exchange);
+        self.members.retain(|id, _| !replaces_all || listed(id));
+        for member in members {
+            self.nodes.insert(member.node);
+            if member.health == Health::Gone {
+                self.members.remove(&member.exchange);
             } else {
-                self.entries.insert(entry.exchange.clone(), entry.clone());
+                self.members.insert(member.exchange.clone(), member.clone());
             }
         }
-        before.into_iter().filter(|id| !self.entries.contains_key(id)).collect()
+        before.into_iter().filter(|id| !self.members.contains_key(id)).collect()
     }
 
-    /// Returns the entries of all listed exchanges.
-    pub fn entries(&self) -> impl Iterator<Item = &DirectoryEntry> {
-        self.entries.values()
+    /// Returns the members, that is, all listed exchanges.
+    pub fn members(&self) -> impl Iterator<Item = &Member> {
+        self.members.values()
     }
 
     /// Returns `true` if calls can go to the node, now or once its exchange is listed again.
@@ -58,6 +58,6 @@
 
     /// Returns `true` if the exchange is listed.
     pub fn is_listed(&self, exchange: &ExchangeId) -> bool {
-        self.entries.contains_key(exchange)
+        self.members.contains_key(exchange)
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub Arc<str>);
 
-/// Id of an exchange, that is, of one machine that serves a node, as the directory lists it.
+/// Id of an exchange, that is, of one machine that serves a node, as given in the membership.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub Arc<str>);
 
@@ -100,7 +100,7 @@
     pub overload_multiple: f64,
     /// Time for which a cold exchange bears `overload_multiple` times its capacity.
     pub overload_window: Duration,
-    /// Longest time between two requests to a directory that has to be polled.
+    /// Longest time between two requests to a membership source that has to be polled.
     pub max_poll_interval: Duration,
 }
 
@@ -184,8 +184,8 @@
     pub gauges: Vec<Gauge>,
     /// Deductions from the score.
     pub penalties: Penalties,
-    /// Whether the directory has to be polled, as it sends updates on request only.
-    pub directory_polled: bool,
+    /// Whether the membership source has to be polled, as it sends updates on request only.
+    pub membership_polled: bool,
     /// Whether callers flag their redials.
     pub redials_flagged: bool,
     /// Whether calls bring the routing advice of a traffic control centre.
@@ -194,20 +194,20 @@
     pub tick: Duration,
 }
 
-/// State of an exchange in the directory. The log and the console print the names of the variants.
+/// State of an exchange in the membership. The log and the console print the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// In service: takes new set-ups.
     Live,
     /// Finishing its calls before a stop: takes no new set-ups.
     Draining,
-    /// Out of service, or no longer in the directory.
+    /// Out of service, or no longer in the membership.
     Gone,
 }
 
-/// Entry of the directory.
+/// Exchange in the membership.
 #[derive(Debug, Clone)]
-pub struct DirectoryEntry {
+pub struct Member {
     /// Id of the exchange.
     pub exchange: ExchangeId,
     /// Node that it serves.
@@ -220,16 +220,16 @@
     pub up_since: Option<Duration>,
 }
 
-/// Content of a directory update.
+/// Content of a membership update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only the entries that have changed.
+    /// Only the members that have changed.
     Changes,
-    /// All entries.
+    /// All members.
     Full,
-    /// All entries as last stored by this router; they may be outdated.
+    /// All members as last stored by this router; they may be outdated.
     Stored,
-    /// No entries, since a request or the subscription failed.
+    /// No members, since a request or the subscription failed.
     Failed,
 }
 
@@ -320,12 +320,12 @@
 /// Event that a controller handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The directory sent an update, or failed to.
-    DirectoryUpdate {
+    /// The membership source sent an update, or failed to.
+    MembershipUpdate {
         /// Content of the update.
         kind: UpdateKind,
-        /// Entries of the update.
-        entries: Arc<Vec<DirectoryEntry>>,
+        /// Members that the update reports.
+        members: Arc<Vec<Member>>,
     },
     /// A caller asks for a call.
     CallOffered(OfferedCall),
@@ -405,7 +405,7 @@
     Probe(ExchangeId),
     /// Sends a message to all other controllers.
     Broadcast(String),
-    /// Subscribes to the directory, or requests its entries if it has to be polled.
+    /// Subscribes to the membership, or requests the members from a source that has to be polled.
     Subscribe,
     /// Writes a line to the log.
     Log(String),
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -134,19 +134,19 @@
     }
 }
 
-/// An exchange of the directory with its address.
+/// An exchange in the membership, with its address.
 #[derive(Debug, Clone)]
 pub struct ListedExchange {
-    /// Directory entry, as passed to the controller.
-    pub entry: DirectoryEntry,
+    /// The member, as passed to the controller.
+    pub member: Member,
     /// Address on which the exchange accepts connections.
     pub address: SocketAddr,
 }
 
-/// An update of the directory.
+/// An update of the membership.
 #[derive(Debug, Clone)]
-pub struct DirectoryUpdate {
-    /// Whether the update holds the full directory, rather than changes to it.
+pub struct MembershipUpdate {
+    /// Whether the update holds the full membership, rather than changes to it.
     pub is_full: bool,
     /// The exchanges that the update reports.
     pub exchanges: Vec<ListedExchange>,
@@ -209,8 +209,8 @@
     pub coordinator: Option<SocketAddr>,
     /// Number of the last event contained in `known_updates`.
     pub last_known_event: u64,
-    /// Updates of the directory that are known at the start.
-    pub known_updates: Vec<DirectoryUpdate>,
+    /// Updates of the membership that are known at the start.
+    pub known_updates: Vec<MembershipUpdate>,
     /// Settings of the controller.
     pub settings: Settings,
     /// Names of the classes, indexed by class number.
@@ -416,7 +416,7 @@
         limits: PolicyLimits { max_attempts, ..PolicyLimits::default() },
         gauges: vec![Gauge::FreeCircuits, Gauge::TotalCircuits],
         penalties: Penalties::default(),
-        directory_polled: false,
+        membership_polled: false,
         redials_flagged: true,
         has_route_advice: false,
         tick: Duration::from_millis(5),
@@ -449,7 +449,7 @@
     }))
 }
 
-fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<DirectoryUpdate> {
+fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<MembershipUpdate> {
     let endpoints = event.get("endpoints");
     let exchanges = endpoints
         .get("hosts")
@@ -457,7 +457,7 @@
         .iter()
         .map(|h| read_exchange(h, zones))
         .collect::<ConfigResult<_>>()?;
-    Ok(DirectoryUpdate { is_full: endpoints.get("whole").boolean(false)?, exchanges })
+    Ok(MembershipUpdate { is_full: endpoints.get("whole").boolean(false)?, exchanges })
 }
 
 fn read_exchange(host: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListedExchange> {
@@ -469,14 +469,14 @@
         "left" => Health::Gone,
         _ => return state.invalid("must be active, leaving or left"),
     };
-    let entry = DirectoryEntry {
+    let member = Member {
         exchange: ExchangeId(host.get("host").text()?.into()),
         node: NodeNumber(host.get("block").whole_u32(0)?),
         zone: zone.and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0) as u32,
         health,
         up_since: Some(host.get("born_ms").whole_number(0)?).filter(|ms| *ms > 0).map(Duration::from_millis),
     };
-    Ok(ListedExchange { entry, address: host.get("dial").address()? })
+    Ok(ListedExchange { member, address: host.get("dial").address()? })
 }
 
 /// Reads the settings of the controller. The keys are those of `Info` in the adapter's `Boot` event.
@@ -552,7 +552,7 @@
             probe: penalties.get("Probe").number(0.0)?,
             peer_message: penalties.get("Peer").number(0.0)?,
         },
-        directory_polled: root.get("RegistryMode").optional_text()? == Some("ask"),
+        membership_polled: root.get("RegistryMode").optional_text()? == Some("ask"),
         redials_flagged: root.get("Clients").get("MarksRetry").boolean(false)?,
         has_route_advice: domain.get("Advice").boolean(false)?,
         tick: root.get("TickNs").duration_ns()?,
--- a/src/lifecycle/console.rs
+++ b/src/lifecycle/console.rs
@@ -98,12 +98,12 @@
 
     fn exchanges(&self, text: &mut String) {
         let platform = self.platform.borrow();
-        for entry in platform.core.exchanges.entries() {
-            let pool = platform.pools().find(|(id, _)| **id == entry.exchange).map(|(_, pool)| pool);
+        for member in platform.core.exchanges.members() {
+            let pool = platform.pools().find(|(id, _)| **id == member.exchange).map(|(_, pool)| pool);
             let (address, open) =
                 pool.map_or((String::new(), 0), |p| (p.address.to_string(), p.open_connections()));
-            let (id, node) = (&entry.exchange.0, entry.node.0);
-            let _ = writeln!(text, "{id} place {node} {:?} {address} connections {open}", entry.health);
+            let (id, node) = (&member.exchange.0, member.node.0);
+            let _ = writeln!(text, "{id} place {node} {:?} {address} connections {open}", member.health);
         }
     }
 
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -145,14 +145,14 @@
     /// run to completion.
     fn apply_upstreams(&mut self) {
         let id = |address: &SocketAddr| ExchangeId(address.to_string().into());
-        let entries = self.config.upstreams.iter().zip(0..).map(|(address, number)| DirectoryEntry {
+        let members = self.config.upstreams.iter().zip(0..).map(|(address, number)| Member {
             exchange: id(address),
             node: NodeNumber(number),
             zone: 0,
             health: Health::Live,
             up_since: None,
         });
-        self.core.update_directory(self.clock.now(), UpdateKind::Full, entries.collect());
+        self.core.update_membership(self.clock.now(), UpdateKind::Full, members.collect());
         for address in &self.config.upstreams {
             let upstream = Upstream { address: *address, queries: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -83,7 +83,7 @@
     /// Address on which the exchange listens.
     pub address: SocketAddr,
     is_listed: bool,
-    /// Time at which the exchange was last removed from the directory.
+    /// Time at which the exchange was last removed from the membership.
     removed_at: Duration,
     /// If a set-up waits on a connection and nothing is received for this long, a second one is opened beside
     /// it.
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The call front end: clients speak SIP, exchanges JSON lines, and the coordinator sends the directory.
+//! The call front end: clients speak SIP, exchanges JSON lines, and the coordinator sends the membership.
 //!
 //! The front end turns messages into requests and replies for the core, and the core's effects into messages.
 
@@ -23,7 +23,7 @@
 use crate::call::core::{Core, Effect, Reply, Request, CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
-use crate::lifecycle::config::{Config, DirectoryUpdate, ListedExchange};
+use crate::lifecycle::config::{Config, ListedExchange, MembershipUpdate};
 use crate::metrics::Metrics;
 use crate::net::connection::{
     self, Clock, CloseReason, SharedWriteBuffer, TimerDriven, WriteBudget, WriteBuffer,
@@ -195,7 +195,7 @@
         Ok(platform)
     }
 
-    /// Applies the directory updates of the configuration file.
+    /// Applies the membership updates of the configuration file.
     fn apply_known_updates(&mut self, config: &Config) {
         for (index, update) in config.known_updates.iter().enumerate() {
             let kind = if index == 0 || update.is_full { UpdateKind::Stored } else { UpdateKind::Changes };
@@ -204,8 +204,8 @@
     }
 
     /// Applies the parts of a new configuration that may change while calls are served: the coordinator, the
-    /// other routers and the limits. With a coordinator, the directory is kept, since the coordinator is
-    /// asked for the events after the last one received. Without one, the directory of the file applies.
+    /// other routers and the limits. With a coordinator, the membership is kept, since the coordinator is
+    /// asked for the events after the last one received. Without one, the membership of the file applies.
     pub fn reload(&mut self, config: &Config) {
         (self.peers, self.peers_all) = (config.peers.clone(), config.peers_all);
         self.clients.limit = max_client_connections(config);
@@ -293,42 +293,42 @@
         !self.is_draining && (has_tried_all || self.clock.now() > self.started_at + 2 * self.connect_timeout)
     }
 
-    // ---- directory -----------------------------------------------------------------------------
+    // ---- membership ----------------------------------------------------------------------------
 
-    /// Applies an update of the directory to the connection pools and the core.
-    fn apply_update(&mut self, kind: UpdateKind, update: &DirectoryUpdate) {
+    /// Applies an update of the membership to the connection pools and the core.
+    fn apply_update(&mut self, kind: UpdateKind, update: &MembershipUpdate) {
         let now = self.clock.now();
         let listed = &update.exchanges;
         if kind != UpdateKind::Changes {
-            let is_listed = |id: &ExchangeId| listed.iter().any(|exchange| exchange.entry.exchange == *id);
+            let is_listed = |id: &ExchangeId| listed.iter().any(|exchange| exchange.member.exchange == *id);
             let missing = self.pools.iter_mut().filter(|(id, _)| !is_listed(id));
             missing.for_each(|(_, pool)| pool.set_listed(now, false));
         }
         let former_starts: BTreeMap<ExchangeId, Option<Duration>> =
-            self.core.exchanges.entries().map(|e| (e.exchange.clone(), e.up_since)).collect();
-        for ListedExchange { entry, address } in listed {
-            let id = &entry.exchange;
+            self.core.exchanges.members().map(|e| (e.exchange.clone(), e.up_since)).collect();
+        for ListedExchange { member, address } in listed {
+            let id = &member.exchange;
             let pool = self
                 .pools
                 .entry(id.clone())
                 .or_insert_with(|| ExchangePool::new(*address, self.silence_timeout));
-            pool.set_listed(now, entry.health != Health::Gone);
+            pool.set_listed(now, member.health != Health::Gone);
             let has_moved = std::mem::replace(&mut pool.address, *address) != *address;
-            if has_moved || former_starts.get(id).is_some_and(|up| *up != entry.up_since) {
+            if has_moved || former_starts.get(id).is_some_and(|up| *up != member.up_since) {
                 pool.retire_connections(now);
             }
-            info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.node.0,
-                "health" => ?entry.health, "up_since" => ?entry.up_since, "event" => self.last_event);
+            info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => member.node.0,
+                "health" => ?member.health, "up_since" => ?member.up_since, "event" => self.last_event);
         }
         for ListedExchange { address, .. } in
-            listed.iter().filter(|exchange| exchange.entry.health != Health::Gone)
+            listed.iter().filter(|exchange| exchange.member.health != Health::Gone)
         {
             let former = self.pools.values().filter(|pool| !pool.is_listed() && pool.address == *address);
             former.for_each(ExchangePool::on_address_reassigned);
         }
         self.pools.retain(|_, pool| !pool.is_removable());
-        let entries = listed.iter().map(|exchange| exchange.entry.clone()).collect();
-        self.core.update_directory(now, kind, entries);
+        let members = listed.iter().map(|exchange| exchange.member.clone()).collect();
+        self.core.update_membership(now, kind, members);
         self.withdraw_queued(listed);
         self.flush();
     }
@@ -337,22 +337,22 @@
     /// them as not sent so that they go elsewhere: the connection may come up long after the exchange's drain
     /// was announced.
     fn withdraw_queued(&mut self, listed: &[ListedExchange]) {
-        for ListedExchange { entry, .. } in
-            listed.iter().filter(|exchange| exchange.entry.health != Health::Live)
+        for ListedExchange { member, .. } in
+            listed.iter().filter(|exchange| exchange.member.health != Health::Live)
         {
-            let queued = self.pools.get_mut(&entry.exchange).map(ExchangePool::take_queued_set_ups);
+            let queued = self.pools.get_mut(&member.exchange).map(ExchangePool::take_queued_set_ups);
             for call in queued.unwrap_or_default() {
-                self.on_attempt_connection_lost(&entry.exchange, &call, false);
+                self.on_attempt_connection_lost(&member.exchange, &call, false);
             }
         }
     }
 
-    /// Applies the directory update in a frame, unless its event is no newer than the last one received.
+    /// Applies the membership update in a frame, unless its event is no newer than the last one received.
     pub(in crate::net) fn on_coordinator_frame(&mut self, frame: coordinator::Frame) {
         let Some(update) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
         self.last_event = frame.event_number;
         let listed = update.records.into_iter().map(|r| ListedExchange {
-            entry: DirectoryEntry {
+            member: Member {
                 exchange: ExchangeId(r.id.into()),
                 node: NodeNumber(u32::from(r.node)),
                 zone: u32::from(r.zone),
@@ -365,7 +365,7 @@
             },
             address: r.address,
         });
-        let update = DirectoryUpdate { is_full: update.is_full, exchanges: listed.collect() };
+        let update = MembershipUpdate { is_full: update.is_full, exchanges: listed.collect() };
         self.apply_update(if update.is_full { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -137,7 +137,7 @@
     platform.borrow_mut().on_client_disconnected(client, reason, &result);
 }
 
-/// Receives the directory from the coordinator. Connects again, asking for the events after the last one
+/// Receives the membership from the coordinator. Connects again, asking for the events after the last one
 /// received, whenever the connection ends, falls silent or a reload has changed the coordinator.
 pub async fn follow_coordinator(platform: Handle) {
     let (log, timeout) = (platform.borrow().log.clone(), platform.borrow().connect_timeout);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -86,7 +86,7 @@
 /// Token of the periodic timer; call timers use the tokens from 1 on.
 const CYCLE_TIMER: TimerToken = TimerToken(0);
 
-/// State of an exchange in the directory.
+/// State of an exchange in the membership.
 #[derive(Debug)]
 struct Exchange {
     node: NodeNumber,
@@ -200,7 +200,7 @@
     cycles_ended: u64,
     /// Whether the first event has been handled.
     is_started: bool,
-    /// Whether the directory is to be subscribed to again at the end of the cycle.
+    /// Whether to subscribe to the membership again at the end of the cycle.
     resubscribe_pending: bool,
     /// Admission control of the local processor.
     admission: AdmissionControl,
@@ -282,10 +282,10 @@
                 after: Duration::from_secs_f64(self.base_interval),
                 token: CYCLE_TIMER,
             });
-            actions.extend(self.settings.directory_polled.then_some(Action::Subscribe));
+            actions.extend(self.settings.membership_polled.then_some(Action::Subscribe));
         }
         match event {
-            Event::DirectoryUpdate { kind, entries } => self.on_directory_update(kind, &entries),
+            Event::MembershipUpdate { kind, members } => self.on_membership_update(kind, &members),
             Event::CallOffered(offered) => self.on_call_offered(offered, actions),
             Event::CallEstablished { call, elapsed, .. } => {
                 self.on_call_established(&call, elapsed.as_secs_f64(), actions)
@@ -360,23 +360,23 @@
         Some(node)
     }
 
-    // ---- directory and load reports ------------------------------------------------------------
+    // ---- membership and load reports -----------------------------------------------------------
 
-    fn on_directory_update(&mut self, kind: UpdateKind, entries: &Arc<Vec<DirectoryEntry>>) {
-        // The request is repeated at the end of the cycle, so that a directory that refuses is not flooded
-        // with requests.
+    fn on_membership_update(&mut self, kind: UpdateKind, members: &Arc<Vec<Member>>) {
+        // The request is repeated at the end of the cycle, so that a membership source that refuses is not
+        // flooded with requests.
         self.resubscribe_pending |= kind == UpdateKind::Failed;
         let is_complete = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
         self.exchanges.values_mut().filter(|_| is_complete).for_each(|e| e.health = Health::Gone);
-        for entry in entries.iter() {
-            let warm_at = entry
+        for member in members.iter() {
+            let warm_at = member
                 .up_since
                 .map_or(0.0, |up_since| (up_since + self.settings.rules.warm_up_time).as_secs_f64());
             let cold_send_times =
-                self.exchanges.remove(&entry.exchange).map_or_else(Vec::new, |e| e.cold_send_times);
-            let exchange = Exchange { node: entry.node, health: entry.health, warm_at, cold_send_times };
-            self.exchanges.insert(entry.exchange.clone(), exchange);
-            self.nodes.entry(entry.node).or_default();
+                self.exchanges.remove(&member.exchange).map_or_else(Vec::new, |e| e.cold_send_times);
+            let exchange = Exchange { node: member.node, health: member.health, warm_at, cold_send_times };
+            self.exchanges.insert(member.exchange.clone(), exchange);
+            self.nodes.entry(member.node).or_default();
         }
         // Exchanges that are gone are dropped once there are more than four per node on average.
         if self.exchanges.len() > 4 * self.nodes.len() {
--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -1,4 +1,4 @@
-//! Decoder for the coordinator's frames: numbered updates of the directory, that is, of the
+//! Decoder for the coordinator's frames: numbered updates of the membership, that is, of the
 //! exchanges with their states and addresses.
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -32,14 +32,14 @@
 pub struct Frame {
     /// Number of the event.
     pub event_number: u64,
-    /// Update of the directory; `None` in a heartbeat frame.
-    pub update: Option<DirectoryUpdate>,
+    /// Update of the membership; `None` in a heartbeat frame.
+    pub update: Option<MembershipUpdate>,
 }
 
-/// An update of the directory.
+/// An update of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DirectoryUpdate {
-    /// Whether the records are the full directory, rather than changes to it.
+pub struct MembershipUpdate {
+    /// Whether the records are the full membership, rather than changes to it.
     pub is_full: bool,
     /// The exchanges that the update reports.
     pub records: Vec<Record>,
@@ -86,7 +86,7 @@
         let payload = &frame[FRAME_HEADER_BYTES..];
         let update = match frame[8] {
             0 => None,
-            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(DirectoryUpdate {
+            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(MembershipUpdate {
                 is_full: kind == 1,
                 records: payload.chunks_exact(RECORD_BYTES).map(decode_record).collect(),
             }),
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -32,7 +32,7 @@
     format!("{{\"TimeNs\":{},\"happened\":[{}]}}", ms * 1_000_000, events.join(","))
 }
 
-const DIRECTORY: &str = r#"{"op":"Directory","Ref":0,"RowsIn":[
+const MEMBERSHIP: &str = r#"{"op":"Directory","Ref":0,"RowsIn":[
 {"CapacityHint":1,"Exchange":"10.0.0.1:5000","FamilyType":0,"UpSinceNs":null,"PlaceNo":0,"Health":"live","Campus":0},
 {"CapacityHint":1,"Exchange":"10.0.0.2:5000","FamilyType":0,"UpSinceNs":null,"PlaceNo":1,"Health":"live","Campus":0}]}"#;
 
@@ -50,7 +50,7 @@
 fn boot_and_announce(name: &str) -> String {
     let announce =
         format!(r#"{{"op":"Announce","SoftswitchId":"{name}","Mode":"disk","Ref":0,"Generation":1}}"#);
-    batch(1000, &[&boot(name, CLASSES), DIRECTORY, &announce]).replace('\n', "")
+    batch(1000, &[&boot(name, CLASSES), MEMBERSHIP, &announce]).replace('\n', "")
 }
 
 fn query(name: &str, call: u32) -> String {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -53,7 +53,7 @@
         limits: PolicyLimits { max_attempts: 5, cancel_allowed: true, ..PolicyLimits::default() },
         gauges: vec![Gauge::FreeCircuits, Gauge::TotalCircuits],
         penalties: Penalties::default(),
-        directory_polled: false,
+        membership_polled: false,
         redials_flagged: false,
         has_route_advice: false,
         tick: ms(5),
@@ -64,8 +64,8 @@
     ExchangeId(format!("10.0.0.{node}:5000").into())
 }
 
-pub fn entry(node: u32, health: Health, up_since: Option<Duration>) -> DirectoryEntry {
-    DirectoryEntry { exchange: exchange(node), node: NodeNumber(node), zone: 0, health, up_since }
+pub fn member(node: u32, health: Health, up_since: Option<Duration>) -> Member {
+    Member { exchange: exchange(node), node: NodeNumber(node), zone: 0, health, up_since }
 }
 
 struct OpenCall {
@@ -114,9 +114,9 @@
             guard_time,
             restores_circuits: true,
         };
-        network.update_directory(
+        network.update_membership(
             UpdateKind::Stored,
-            (0..fleet_size).map(|node| entry(node, Health::Live, None)).collect(),
+            (0..fleet_size).map(|node| member(node, Health::Live, None)).collect(),
         );
         network.restore_free_circuits();
         network
@@ -165,18 +165,18 @@
         }
     }
 
-    pub fn update_directory(&mut self, kind: UpdateKind, entries: Vec<DirectoryEntry>) -> Vec<Action> {
+    pub fn update_membership(&mut self, kind: UpdateKind, members: Vec<Member>) -> Vec<Action> {
         if kind != UpdateKind::Changes {
             self.health.clear();
         }
-        for entry in &entries {
-            self.health.insert(entry.exchange.clone(), entry.health);
+        for member in &members {
+            self.health.insert(member.exchange.clone(), member.health);
         }
-        self.handle(Event::DirectoryUpdate { kind, entries: Arc::new(entries) })
+        self.handle(Event::MembershipUpdate { kind, members: Arc::new(members) })
     }
 
-    pub fn fail_directory_update(&mut self) {
-        self.handle(Event::DirectoryUpdate { kind: UpdateKind::Failed, entries: Arc::default() });
+    pub fn fail_membership_update(&mut self) {
+        self.handle(Event::MembershipUpdate { kind: UpdateKind::Failed, members: Arc::default() });
     }
 
     fn restore_free_circuits(&mut self) {
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -9,7 +9,7 @@
 
 use harness::*;
 use quartzspindle::call::exchanges::Exchanges;
-use quartzspindle::interface::{DirectoryEntry, ExchangeId, Health, NodeNumber, UpdateKind};
+use quartzspindle::interface::{ExchangeId, Health, Member, NodeNumber, UpdateKind};
 use rstest::rstest;
 
 /// Starts an attempt. Returns the router's connection to the exchange as the last item.
@@ -167,12 +167,12 @@
     assert!(client.receive().first_line.contains(" 200 "));
 }
 
-/// Guards against a directory that grows with every exchange that is replaced.
+/// Guards against a membership that grows with every exchange that is replaced.
 #[test]
-fn a_removed_exchange_is_dropped_from_the_directory() {
+fn a_removed_exchange_is_dropped_from_the_membership() {
     let mut exchanges = Exchanges::default();
     for n in 0..1000 {
-        let entry = |n: u32, health| DirectoryEntry {
+        let member = |n: u32, health| Member {
             exchange: ExchangeId(format!("s-{n:08x}").into()),
             node: NodeNumber(n % 3),
             zone: 0,
@@ -180,11 +180,11 @@
             up_since: None,
         };
         let removed =
-            exchanges.apply(UpdateKind::Changes, &[entry(n, Health::Live), entry(n + 1, Health::Gone)]);
+            exchanges.apply(UpdateKind::Changes, &[member(n, Health::Live), member(n + 1, Health::Gone)]);
         assert!(removed.is_empty());
-        assert_eq!(exchanges.apply(UpdateKind::Changes, &[entry(n, Health::Gone)]).len(), 1);
+        assert_eq!(exchanges.apply(UpdateKind::Changes, &[member(n, Health::Gone)]).len(), 1);
     }
-    assert_eq!(exchanges.entries().count(), 0);
+    assert_eq!(exchanges.members().count(), 0);
     assert!(exchanges.serves(NodeNumber(2)) && !exchanges.serves(NodeNumber(3)));
 }
 
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -373,11 +373,11 @@
 #[test]
 fn calls_wait_for_a_destination_without_a_live_exchange() {
     let mut network = Network::new(settings(3), 1);
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Draining, None)]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Draining, None)]);
     let call = network.offer_call(1, 0);
     assert!(network.outstanding_at(&call).is_none() && network.is_unanswered(&call));
-    let replacement = DirectoryEntry { exchange: exchange(91), ..entry(1, Health::Live, None) };
-    network.update_directory(UpdateKind::Changes, vec![replacement]);
+    let replacement = Member { exchange: exchange(91), ..member(1, Health::Live, None) };
+    network.update_membership(UpdateKind::Changes, vec![replacement]);
     network.advance(ms(600));
     assert_eq!(network.outstanding_at(&call), Some(exchange(91)));
 }
@@ -487,13 +487,13 @@
 }
 
 #[test]
-fn a_failed_directory_request_is_repeated_once_a_cycle_and_the_entries_are_kept() {
-    let mut network = Network::new(Settings { directory_polled: true, ..settings(3) }, 1);
+fn a_failed_membership_request_is_repeated_once_a_cycle_and_the_members_are_kept() {
+    let mut network = Network::new(Settings { membership_polled: true, ..settings(3) }, 1);
     let request_count =
         |network: &Network| network.actions.iter().filter(|a| **a == Action::Subscribe).count();
     assert_eq!(request_count(&network), 1);
     for _ in 0..20 {
-        network.fail_directory_update();
+        network.fail_membership_update();
         network.advance(ms(100));
     }
     assert!((3..=6).contains(&request_count(&network)), "{} requests in 2 s", request_count(&network));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -28,20 +28,22 @@
 #[test]
 fn a_draining_or_unlisted_exchange_gets_no_set_ups() {
     let mut network = Network::new(settings(3), 1);
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Draining, None)]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Draining, None)]);
     let call = network.offer_call(1, 0);
     assert_ne!(network.outstanding_at(&call), Some(exchange(1)));
-    network
-        .update_directory(UpdateKind::Full, vec![entry(0, Health::Live, None), entry(1, Health::Live, None)]);
+    network.update_membership(
+        UpdateKind::Full,
+        vec![member(0, Health::Live, None), member(1, Health::Live, None)],
+    );
     let call = network.offer_call(2, 0);
-    assert_eq!(network.outstanding_at(&call), None, "an exchange missing from a full directory is gone");
+    assert_eq!(network.outstanding_at(&call), None, "an exchange missing from a full membership is gone");
 }
 
 #[test]
 fn a_cold_exchange_gets_at_most_this_senders_share_in_any_window() {
     let mut network = Network::new(settings(4), 1);
     let up_since = network.now;
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Live, Some(up_since))]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Live, Some(up_since))]);
     let mut sends: Vec<Duration> = Vec::new();
     for _ in 0..300 {
         let call = network.offer_call(1, 0);
@@ -67,7 +69,7 @@
 fn a_cold_exchange_gets_more_set_ups_as_it_warms_up() {
     let mut network = Network::new(settings(4), 1);
     let up_since = network.now;
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Live, Some(up_since))]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Live, Some(up_since))]);
     let mut halves = [0, 0];
     for i in 0..640 {
         network.offer_call(1, 0);
@@ -98,7 +100,7 @@
         sent
     };
     drive(&mut network, 500);
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Live, Some(network.now))]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Live, Some(network.now))]);
     let first = drive(&mut network, 100);
     // In 2 s: 0.9 x multiple 4 x cold share 0.3 x 1.5 x 50/s x 2 s = 162 at most; a quarter of 50/s would be
     // 27.
@@ -127,7 +129,7 @@
     }
     assert!(flood(&mut network) > 350, "a warm exchange gets most of them");
     network.advance(ms(500));
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Live, Some(network.now))]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Live, Some(network.now))]);
     let first = flood(&mut network);
     // 162 as above, a fifth more for each of two cycles with the flood, and a ninth for half a second of
     // warm-up.
@@ -138,7 +140,7 @@
 fn a_cold_budget_below_one_set_up_is_spread_over_several_windows() {
     let mut network = Network::new(settings(90), 1);
     let up_since = network.now;
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Live, Some(up_since))]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Live, Some(up_since))]);
     let mut sends = 0;
     for _ in 0..60 {
         let call = network.offer_call(1, 0);
@@ -206,7 +208,7 @@
             8 if rng.u8(..8) == 0 => {
                 let health = [Health::Live, Health::Live, Health::Draining, Health::Gone][rng.usize(..4)];
                 let up_since = rng.bool().then_some(network.now);
-                network.update_directory(UpdateKind::Changes, vec![entry(node, health, up_since)]);
+                network.update_membership(UpdateKind::Changes, vec![member(node, health, up_since)]);
             }
             9..=15 if !network.outstanding.is_empty() => {
                 let call = network.outstanding[rng.usize(..network.outstanding.len())].0.clone();
