--- a/src/call/exchanges.rs
+++ b/src/call/exchanges.rs
@@ -4,7 +4,8 @@
 
 use crate::interface::{ExchangeId, Health, Member, NodeNumber, Settings, Topology, UpdateKind};
 
-/// The exchanges in the membership as last updated, and the nodes that calls can go to.
+/// The exchanges in the membership as last updated, and the nodes that calls can go to. An exchange is listed
+/// while it is in the membership.
 #[derive(Debug, Default)]
 pub struct Exchanges {
     members: BTreeMap<ExchangeId, Member>,
@@ -30,7 +31,7 @@
     /// Applies a membership update; returns the exchanges that are no longer listed.
     pub fn apply(&mut self, kind: UpdateKind, members: &[Member]) -> Vec<ExchangeId> {
         let replaces_all = matches!(kind, UpdateKind::Full | UpdateKind::Stored);
-        let listed = |id: &ExchangeId| members.iter().any(|e| e.exchange == *id);
+        let listed = |id: &ExchangeId| members.iter().any(|m| m.exchange == *id);
         let before: Vec<ExchangeId> = self.members.keys().cloned().collect();
         // A replaced exchange comes back under a new id, so memory would grow without bound if old ids were
         // kept.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -5,7 +5,9 @@
 //! [`Duration`] since the origin of the host's clock. A controller never reads a clock itself.
 //!
 //! An exchange (a machine with an [`ExchangeId`]) serves a node (a [`NodeNumber`] in the network). A router
-//! sends the set-up of a call to an exchange; the call is established once the exchange has confirmed it.
+//! sends the set-up of a call to an exchange; the call is established once the exchange has confirmed it. The
+//! membership is the set of exchanges with their nodes, zones, states and starts; the membership source (for
+//! the router, the coordinator) sends its updates.
 
 use std::sync::Arc;
 use std::time::Duration;
