--- a/emulator/src/client.rs
+++ b/emulator/src/client.rs
@@ -25,6 +25,11 @@
 /// A refused client may redial unless a number drawn from 0 up to this one is 0. It redials once at most.
 const MAX_REDIAL_DRAW: u32 = 2;
 
+/// Time from the deadline of a request on a new connection until the client closes that connection.
+const CLOSE_DELAY: Duration = Duration::from_millis(2800);
+/// Node number that no exchange has, called by some requests.
+const UNKNOWN_NODE: u32 = 77;
+
 /// Item in the queue of a connection to the router.
 enum Outgoing {
     /// A request, written at the given pace.
@@ -125,6 +130,8 @@
         (number, self.run_connection(stream, number, receiver))
     }
 
+    /// Reads and writes on a connection until it closes, then sends the requests that crossed the close
+    /// again.
     async fn run_connection(
         self: Rc<Self>,
         stream: TcpStream,
@@ -149,6 +156,8 @@
         }
     }
 
+    /// Writes queued items. Returns `true` once the client closes or resets the connection. After a write
+    /// error it never returns, since messages of the router may still be read.
     async fn write_messages(
         &self,
         writer: &mut OwnedWriteHalf,
@@ -250,6 +259,8 @@
         }
     }
 
+    /// Draws whether the client hangs up an established call. A call that it has cancelled is hung up at
+    /// once.
     fn schedule_hang_up(&self, call_id: String, number: u64) {
         let is_cancelled = self.checker.borrow().is_cancelled(&call_id);
         let (hangs_up, after) = {
@@ -279,6 +290,7 @@
         });
     }
 
+    /// Sends requests at random intervals, at the mean rate of the scenario.
     async fn generate_requests(self: Rc<Self>) {
         while self.is_active.get() {
             let gap = -self.rng.borrow_mut().f64().max(1e-9).ln() / self.scenario.requests_per_s;
@@ -287,6 +299,7 @@
         }
     }
 
+    /// Draws a request.
     fn draw_request(&self) -> Request {
         let mut rng = self.rng.borrow_mut();
         let classes = &self.scenario.rules.classes;
@@ -305,7 +318,7 @@
             called_number: format!("+386{:08}", rng.u32(..100_000_000)),
             description: format!("{:016x}\r\nc=IN IP4 10.4.7.9\r\n\"q\\ ž\r\n{filler}", rng.u64(..)),
             ring_limit: ring_limit.max(Duration::from_millis(3)),
-            destination: if is_unknown { 77 } else { rng.u32(1..self.scenario.exchange_count) },
+            destination: if is_unknown { UNKNOWN_NODE } else { rng.u32(1..self.scenario.exchange_count) },
         }
     }
 
@@ -330,7 +343,7 @@
         }
     }
 
-    /// Sends a request on a new connection, which is closed some time after the request's deadline.
+    /// Sends a request on a new connection, which is closed `CLOSE_DELAY` after the request's deadline.
     async fn send_on_new_connection(self: Rc<Self>, request: Request, pace: Pace) {
         let (call_id, ring_limit) = (request.call_id.clone(), request.ring_limit);
         let Ok(stream) = TcpStream::connect(self.router_address).await else {
@@ -340,7 +353,7 @@
         self.send(number, Outgoing::Request(request, pace));
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            sleep(ring_limit + Duration::from_millis(2800)).await;
+            sleep(ring_limit + CLOSE_DELAY).await;
             clients.send(number, Outgoing::Close);
         });
         running.await;
@@ -364,6 +377,7 @@
         sleep(Duration::from_secs(4)).await;
     }
 
+    /// Starts a client that violates the protocol every 50 to 500 ms.
     async fn run_bad_clients(self: Rc<Self>) {
         while self.is_active.get() {
             let (pause, kind) = {
@@ -376,6 +390,7 @@
         }
     }
 
+    /// Sends a message that violates the protocol, and checks that the router refuses it or disconnects.
     async fn run_bad_client(&self, kind: u8) {
         let Ok(mut stream) = TcpStream::connect(self.router_address).await else { return };
         let connected_at = Instant::now();
@@ -401,6 +416,7 @@
     }
 }
 
+/// Returns the message that a bad client of this kind sends.
 fn bad_client_message(kind: u8, call_id: &str) -> String {
     let invite = |headers: &str, body: &str| {
         format!("INVITE sip:1@net SIP/2.0\r\nCall-ID: {call_id}\r\nCSeq: 1 INVITE\r\n{headers}\r\n{body}")
--- a/emulator/src/coordinator.rs
+++ b/emulator/src/coordinator.rs
@@ -43,7 +43,7 @@
     pub number: u64,
     /// Id of the exchange.
     pub id: u32,
-    /// Place of the exchange.
+    /// Number of the node that the exchange serves.
     pub node: u32,
     /// Address that the exchange listens on.
     pub address: SocketAddr,
@@ -136,6 +136,7 @@
         self.interrupt(Mode::Down, length).await;
     }
 
+    /// Enters a mode for the given time and serves again after it.
     async fn interrupt(&self, mode: Mode, length: Duration) {
         self.mode.set(mode);
         tokio::time::sleep(length).await;
@@ -167,6 +168,7 @@
         }
     }
 
+    /// Accepts connections at the address with this number until another address replaces it.
     async fn accept_connections(self: Rc<Self>, listener: TcpListener, address: SocketAddr, number: u32) {
         let mut listener = Some(listener);
         while *self.current_address.borrow() == number {
@@ -183,6 +185,7 @@
         }
     }
 
+    /// Sends events on a connection until it breaks or its address is replaced.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream, number: u32) {
         let (mut generation, mut current) =
             (self.connection_generation.subscribe(), self.current_address.subscribe());
@@ -226,6 +229,7 @@
         }
     }
 
+    /// Writes a frame in one piece or several, or breaks off in the middle if that was requested.
     async fn write_frame(&self, stream: &mut TcpStream, frame: &[u8]) -> io::Result<()> {
         if self.breaks_next_frame.take() {
             stream.write_all(&frame[..frame.len() / 2]).await?;
@@ -252,6 +256,7 @@
     }
 }
 
+/// Encodes a frame without a record: its length, the event number and the kind 0.
 fn heartbeat_frame(number: u64) -> Vec<u8> {
     let mut frame = 9_u32.to_be_bytes().to_vec();
     frame.extend(number.to_be_bytes());
@@ -259,6 +264,7 @@
     frame
 }
 
+/// Encodes a frame with one record: its length, the event number, the kind 2 and the 27 bytes of the record.
 fn event_frame(event: &MembershipEvent) -> Vec<u8> {
     let mut frame = 36_u32.to_be_bytes().to_vec();
     frame.extend(event.number.to_be_bytes());
--- a/emulator/src/run.rs
+++ b/emulator/src/run.rs
@@ -25,7 +25,7 @@
 
 /// Longest time from a start of the router until it passes a health check.
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time from the longest deadline, counted from SIGTERM, to the SIGKILL.
+/// Time that is added to the longest deadline to get the time from SIGTERM to SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Upper bound of the longest deadline when the time of the SIGKILL is computed.
 const MAX_STOP_DEADLINE: Duration = Duration::from_secs(3);
@@ -39,7 +39,7 @@
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
-    /// Breaches of the rules, oldest first.
+    /// Violations of the rules, oldest first.
     pub violations: Vec<Violation>,
     /// Faults, signals and other events with their times, oldest first.
     pub timeline: Vec<String>,
@@ -57,6 +57,7 @@
     Stop,
 }
 
+/// The parts of a run in progress.
 struct Run {
     scenario: Rc<Scenario>,
     checker: Rc<RefCell<RuleChecker>>,
@@ -132,6 +133,7 @@
         self.checker.borrow_mut().record_event(text);
     }
 
+    /// Carries out the timeline of the scenario, then stops new requests.
     async fn run_timeline(self: Rc<Self>, commands: &mpsc::UnboundedSender<SupervisorCommand>) {
         let started_at = Instant::now();
         for (at, step) in self.scenario.timeline.clone() {
@@ -154,6 +156,7 @@
         self.clients.stop_requests();
     }
 
+    /// Applies a fault and, if it has a duration, ends it after that.
     async fn apply_fault(self: Rc<Self>, step: Step) {
         match step {
             Step::DiscoverySilent(length) => return self.coordinator.stop_sending(length).await,
@@ -242,6 +245,7 @@
         RouterProcess::start(&self.program, config.path(), &self.log_path)
     }
 
+    /// Starts and stops the router as the commands request, until the command to stop for good.
     async fn supervise(
         self: Rc<Self>,
         mut commands: mpsc::UnboundedReceiver<SupervisorCommand>,
@@ -289,6 +293,7 @@
         }
     }
 
+    /// Sends SIGTERM, and SIGKILL at the earliest time that the rules allow if the process still runs then.
     async fn terminate(&self, router: &mut RouterProcess, twice: bool) {
         let longest_deadline =
             self.scenario.rules.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
@@ -319,7 +324,7 @@
                         .borrow_mut()
                         .report_violation(Rule::Crash, format!("the router exited with {status}"));
                 }
-                // Clients see their connections end before the process counts as ended.
+                // Lets the clients see their connections close before the process counts as ended.
                 sleep(POLL_INTERVAL).await;
                 self.checker.borrow_mut().on_process_ended();
                 return true;
@@ -329,6 +334,7 @@
         false
     }
 
+    /// Reloads the configuration several times, each time with another address of the coordinator.
     async fn reload(&self, router: &RouterProcess, count: u32, gap: Duration) -> io::Result<()> {
         for _ in 0..count {
             let address = self.coordinator.open_address().await?;
@@ -377,6 +383,7 @@
         sleep(Duration::from_secs(1)).await;
     }
 
+    /// Returns whether the router answers OPTIONS with 200.
     async fn passes_health_check(&self) -> io::Result<bool> {
         let mut stream = TcpStream::connect(self.listen_address).await?;
         stream.write_all(&sip::request("OPTIONS", "ping", "0", "", "")).await?;
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -15,7 +15,7 @@
     /// Longest time that a client waits for the final answer.
     pub deadline: Duration,
     /// A call that is established within this time earns its full value.
-    pub target_delay: Duration,
+    pub latency_objective: Duration,
 }
 
 /// Settings that the rules depend on.
@@ -113,7 +113,7 @@
     pub has_bad_clients: bool,
     /// Share of requests whose client gives up before the deadline.
     pub abandon_share: f64,
-    /// Clients repeat a refused request at once, whatever `X-Hold-Off` says.
+    /// Clients redial at once after a refusal, whatever `X-Hold-Off` says.
     pub ignores_hold_off: bool,
     /// Time during which requests are sent and faults happen.
     pub active_time: Duration,
@@ -158,7 +158,7 @@
             name,
             is_safe,
             deadline,
-            target_delay: deadline / 2,
+            latency_objective: deadline / 2,
         };
         let mut classes = vec![class("voice", true, deadline), class("family", true, deadline.mul_f64(0.8))];
         if rng.u8(..3) == 0 {
@@ -194,6 +194,7 @@
         scenario
     }
 
+    /// Adds a step to the timeline, unless it lies after the active time.
     fn add_step(&mut self, at: Duration, step: Step) {
         if at < self.active_time {
             self.timeline.push((at, step));
@@ -223,6 +224,7 @@
         }
     }
 
+    /// Draws a fault of an exchange other than the router's own.
     fn draw_exchange_fault(&self, rng: &mut Rng) -> Step {
         let node = rng.u32(1..self.exchange_count);
         let length = draw_duration(rng, 300, 4000);
@@ -242,6 +244,7 @@
         }
     }
 
+    /// Draws faults of exchanges and of the coordinator, reloads, and a crowd of idle connections.
     fn draw_faults(&mut self, rng: &mut Rng) {
         for _ in 0..rng.u32(1..=4) {
             let at = draw_duration(rng, 300, self.active_time.as_millis() as u64);
--- a/src/bin/quartzspindle-adapter/wire.rs
+++ b/src/bin/quartzspindle-adapter/wire.rs
@@ -30,16 +30,16 @@
     pub happened: Vec<Value>,
 }
 
-/// Directory list, to which later `Announce` events refer by its number.
+/// Membership, to which later `Announce` events refer by its number.
 #[derive(Deserialize)]
-pub struct Directory {
+pub struct Membership {
     #[serde(rename = "Ref")]
-    pub list_number: u64,
+    pub membership_number: u64,
     #[serde(rename = "RowsIn")]
     pub rows: Vec<Row>,
 }
 
-/// Row of a directory list.
+/// Row of a membership.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Row {
@@ -50,15 +50,15 @@
     campus: Option<u32>,
 }
 
-/// Translates a row of a directory list.
-pub fn parse_entry(row: Row) -> Result<DirectoryEntry, String> {
+/// Translates a row of a membership.
+pub fn parse_member(row: Row) -> Result<Member, String> {
     let health = match row.health.as_str() {
         "live" => Health::Live,
         "quiescing" => Health::Draining,
         "dead" => Health::Gone,
         other => return Err(format!("unknown Health {other:?}")),
     };
-    Ok(DirectoryEntry {
+    Ok(Member {
         exchange: ExchangeId(row.exchange),
         node: NodeNumber(row.place_no),
         zone: row.campus.unwrap_or(0),
@@ -103,6 +103,7 @@
     tick_ns: Option<u64>,
 }
 
+/// Settings of a class. [`Domain`] has its circuits, holding time and pools, in lists by class number.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct WireClass {
@@ -115,12 +116,14 @@
     window_ns: Option<u64>,
 }
 
+/// Settings of a tenant.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct WireTenant {
     quota_per_s: Option<f64>,
 }
 
+/// Settings of the network, and those of each class that depend on it.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Domain {
@@ -134,6 +137,7 @@
     topology: Option<String>,
 }
 
+/// Parameters of the rules, see [`RuleSettings`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct WireContract {
@@ -145,6 +149,7 @@
     ask_within_ns: Option<u64>,
 }
 
+/// Limits and permissions, see [`PolicyLimits`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct WireLimits {
@@ -156,12 +161,14 @@
     max_retry_after_ns: Option<u64>,
 }
 
+/// Names of the figures in a load report.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Stats {
     names: Option<Vec<String>>,
 }
 
+/// Deductions from the score, see [`Penalties`].
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct WirePenalties {
@@ -171,6 +178,7 @@
     peer: Option<f64>,
 }
 
+/// Settings of the callers.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct Clients {
@@ -200,7 +208,7 @@
         Some(other) => return Err(format!("unknown Effect {other:?}")),
     };
     Ok(Class {
-        target_delay: Duration::from_nanos(class.aim_ns),
+        latency_objective: Duration::from_nanos(class.aim_ns),
         deadline: Duration::from_nanos(class.deadline_ns),
         value: class.worth.unwrap_or(0.0),
         late_value_share: class.late_share.unwrap_or(0.0),
@@ -267,8 +275,8 @@
             cancel_allowed: limits.cancelling.unwrap_or(false),
             probes_allowed: limits.probes.unwrap_or(false),
             peer_messages_allowed: limits.peers.unwrap_or(false),
-            retry_after_allowed: limits.retry_after.unwrap_or(false),
-            max_retry_after: duration_or_zero(limits.max_retry_after_ns),
+            hold_off_allowed: limits.retry_after.unwrap_or(false),
+            max_hold_off: duration_or_zero(limits.max_retry_after_ns),
         },
         gauges: info.stats.names.unwrap_or_default().iter().map(|n| parse_gauge(n)).collect(),
         penalties: Penalties {
@@ -277,21 +285,23 @@
             probe: penalties.probe.unwrap_or(0.0),
             peer_message: penalties.peer.unwrap_or(0.0),
         },
-        directory_polled: info.registry_mode.as_deref() == Some("ask"),
+        membership_polled: info.registry_mode.as_deref() == Some("ask"),
         redials_flagged: info.clients.marks_retry.unwrap_or(false),
         has_route_advice: domain.advice.unwrap_or(false),
         tick: duration_or_zero(info.tick_ns),
     })
 }
 
+/// Update of the membership.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Announce {
     mode: String,
     #[serde(rename = "Ref")]
-    list_number: Option<u64>,
+    membership_number: Option<u64>,
 }
 
+/// Call that a caller asks for, see [`OfferedCall`].
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Query {
@@ -308,6 +318,7 @@
     reconnect: Option<bool>,
 }
 
+/// End of an attempt, or of the call that it established, see [`Outcome`].
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct ReportBack {
@@ -321,6 +332,7 @@
     gauge: Option<Vec<Option<f64>>>,
 }
 
+/// Answer to a probe, or a load report without a probe.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Sampled {
@@ -330,6 +342,7 @@
     gauge: Option<Vec<Option<f64>>>,
 }
 
+/// Call that was established.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Accepted {
@@ -358,7 +371,7 @@
     })
 }
 
-/// Translates `Why`; a full processor is 3, plus 16 for each millisecond of the wait that it asks for.
+/// Translates `Why`; a full processor is 3, plus 16 for each millisecond of the wait that it reports.
 fn parse_cause(why: u64) -> Option<FailureCause> {
     let wait = (why >= 16).then(|| Duration::from_millis(why / 16));
     match why {
@@ -371,7 +384,7 @@
     }
 }
 
-/// Returns the node with this number; a negative number stands for no node.
+/// Returns the node with this number; a negative number means no node.
 fn parse_node_number(number: Option<f64>) -> Option<NodeNumber> {
     number.filter(|n| *n >= 0.0 && *n <= f64::from(u32::MAX)).map(|n| NodeNumber(n as u32))
 }
@@ -380,11 +393,11 @@
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
-/// Translates an event for a controller. `directories` holds the lists given so far.
+/// Translates an event for a controller. `memberships` holds the memberships given so far.
 pub fn parse_event(
     op: &str,
     value: Value,
-    directories: &BTreeMap<u64, Arc<Vec<DirectoryEntry>>>,
+    memberships: &BTreeMap<u64, Arc<Vec<Member>>>,
 ) -> Result<Event, String> {
     Ok(match op {
         "Announce" => {
@@ -396,17 +409,17 @@
                 "error" => UpdateKind::Failed,
                 other => return Err(format!("unknown Mode {other:?}")),
             };
-            let entries = match (kind, announcement.list_number.and_then(|n| directories.get(&n))) {
+            let members = match (kind, announcement.membership_number.and_then(|n| memberships.get(&n))) {
                 (UpdateKind::Failed, _) => Arc::default(),
-                (_, Some(list)) => Arc::clone(list),
+                (_, Some(members)) => Arc::clone(members),
                 (_, None) => {
                     return Err(format!(
-                        "Announce refers to an unknown list: Ref {:?}",
-                        announcement.list_number
+                        "Announce refers to an unknown membership: Ref {:?}",
+                        announcement.membership_number
                     ))
                 }
             };
-            Event::DirectoryUpdate { kind, entries }
+            Event::MembershipUpdate { kind, members }
         }
         "Query" => {
             let query: Query = deserialize(value)?;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,11 +1,13 @@
-//! Interface of the decision module: its settings, the events it handles, the actions it returns, and the ids
-//! used in them.
+//! Interface of the decision module: the settings of a [`Controller`](crate::Controller), the events it
+//! handles, the actions it returns, and the ids used in them.
 //!
-//! A time is given as the [`Duration`] since the origin of the host's clock. The module never reads a clock
-//! itself.
+//! The host is the program that runs a controller: the router or the adapter. A time is given as the
+//! [`Duration`] since the origin of the host's clock. A controller never reads a clock itself.
 //!
 //! An exchange (a machine with an [`ExchangeId`]) serves a node (a [`NodeNumber`] in the network). A router
-//! asks an exchange to set a call up; the call is established once the exchange has confirmed the set-up.
+//! sends the set-up of a call to an exchange; the call is established once the exchange has confirmed it. The
+//! membership is the set of exchanges with their nodes, zones, states and starts; the membership source (for
+//! the router, the coordinator) sends its updates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,16 +16,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub Arc<str>);
 
-/// Id of a machine that serves an exchange (or a pool), as listed in the directory.
+/// Id of an exchange, that is, of one machine that serves a node, as given in the membership.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExchangeId(pub Arc<str>);
 
-/// Number of a node, which is an exchange or a pool of agents in the network. During a replacement two
-/// machines serve one node.
+/// Number of a node of the network: the position of an exchange, or a pool of agents. During a replacement
+/// two exchanges serve one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeNumber(pub u32);
 
-/// Token of a timer, assigned by the decision module.
+/// Token of a timer, assigned by the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
 
@@ -53,12 +55,13 @@
 #[derive(Debug, Clone)]
 pub struct Class {
     /// Time within which a call is to be established to earn its full value.
-    pub target_delay: Duration,
+    pub latency_objective: Duration,
     /// Time after which the caller gives up, counted over all its tries.
     pub deadline: Duration,
-    /// Value of a call that is established within the target delay.
+    /// Value of a call that is established within the latency objective.
     pub value: f64,
-    /// Share of the value earned by a call that is established between the target delay and the deadline.
+    /// Share of the value earned by a call that is established between the latency objective and the
+    /// deadline.
     pub late_value_share: f64,
     /// Whether set-ups of the class can be repeated.
     pub idempotency: Idempotency,
@@ -97,9 +100,9 @@
     pub warm_up_time: Duration,
     /// A cold exchange fails if it is sent this multiple of its capacity for the length of `overload_window`.
     pub overload_multiple: f64,
-    /// Time for which a cold exchange bears `overload_multiple` times its capacity.
+    /// Time for which a cold exchange sustains `overload_multiple` times its capacity.
     pub overload_window: Duration,
-    /// Longest time between two requests to a directory that has to be polled.
+    /// Longest time between two requests to a membership source that has to be polled.
     pub max_poll_interval: Duration,
 }
 
@@ -114,10 +117,10 @@
     pub probes_allowed: bool,
     /// Whether messages may be sent to other controllers.
     pub peer_messages_allowed: bool,
-    /// Whether a refusal may tell the caller a hold-off.
-    pub retry_after_allowed: bool,
+    /// Whether a refusal may ask the caller to hold off.
+    pub hold_off_allowed: bool,
     /// Longest hold-off that callers obey.
-    pub max_retry_after: Duration,
+    pub max_hold_off: Duration,
 }
 
 /// Meaning of a figure in a load report. The index in [`Settings::gauges`] is the index in the report.
@@ -146,7 +149,7 @@
 /// Deductions from the score of a run, as shares of 1.
 #[derive(Debug, Clone, Default)]
 pub struct Penalties {
-    /// Deduction for value that failed after its target delay.
+    /// Deduction for value that failed after its latency objective.
     pub late_failure: f64,
     /// Deduction for processor work that led to no set-up.
     pub wasted_work: f64,
@@ -183,8 +186,8 @@
     pub gauges: Vec<Gauge>,
     /// Deductions from the score.
     pub penalties: Penalties,
-    /// Whether the directory has to be polled, as it sends updates on request only.
-    pub directory_polled: bool,
+    /// Whether the membership source has to be polled, as it sends updates on request only.
+    pub membership_polled: bool,
     /// Whether callers flag their redials.
     pub redials_flagged: bool,
     /// Whether calls bring the routing advice of a traffic control centre.
@@ -193,42 +196,42 @@
     pub tick: Duration,
 }
 
-/// State of an exchange in the directory. The log and the console print the names of the variants.
+/// State of an exchange in the membership. The log and the console print the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// In service: takes new set-ups.
     Live,
     /// Finishing its calls before a stop: takes no new set-ups.
     Draining,
-    /// Out of service, or no longer listed.
+    /// Out of service, or no longer in the membership.
     Gone,
 }
 
-/// Entry of the directory.
+/// Exchange in the membership.
 #[derive(Debug, Clone)]
-pub struct DirectoryEntry {
-    /// Id of the machine.
+pub struct Member {
+    /// Id of the exchange.
     pub exchange: ExchangeId,
     /// Node that it serves.
     pub node: NodeNumber,
     /// Number of its zone.
     pub zone: u32,
-    /// State of the machine.
+    /// State of the exchange.
     pub health: Health,
     /// Time of its last start; `None` if that was long ago.
     pub up_since: Option<Duration>,
 }
 
-/// Content of a directory update.
+/// Content of a membership update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only the entries that have changed.
+    /// Only the members that have changed.
     Changes,
-    /// All entries.
+    /// All members.
     Full,
-    /// All entries as last stored by this router; they may be outdated.
+    /// All members as last stored by this router; they may be outdated.
     Stored,
-    /// No entries, since a request or the subscription failed.
+    /// No members, since a request or the subscription failed.
     Failed,
 }
 
@@ -319,12 +322,12 @@
 /// Event that a controller handles.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The directory sent an update, or failed to.
-    DirectoryUpdate {
+    /// The membership source sent an update, or failed to.
+    MembershipUpdate {
         /// Content of the update.
         kind: UpdateKind,
-        /// Entries of the update.
-        entries: Arc<Vec<DirectoryEntry>>,
+        /// Members that the update reports.
+        members: Arc<Vec<Member>>,
     },
     /// A caller asks for a call.
     CallOffered(OfferedCall),
@@ -381,7 +384,7 @@
     Refuse {
         /// Id of the call.
         call: CallId,
-        /// Time after which the caller may redial, if it is to be told.
+        /// Time after which the caller may redial; `None` if the answer names no time.
         hold_off: Option<Duration>,
     },
     /// Fails a call that may have run, which is a final answer.
@@ -404,7 +407,7 @@
     Probe(ExchangeId),
     /// Sends a message to all other controllers.
     Broadcast(String),
-    /// Subscribes to the directory, or requests its entries if it has to be polled.
+    /// Subscribes to the membership, or requests the members from a source that has to be polled.
     Subscribe,
     /// Writes a line to the log.
     Log(String),
--- a/src/lifecycle/config.rs
+++ b/src/lifecycle/config.rs
@@ -134,25 +134,25 @@
     }
 }
 
-/// An exchange of the directory with its address.
+/// An exchange in the membership, with its address.
 #[derive(Debug, Clone)]
 pub struct ListedExchange {
-    /// Directory entry, as passed to the decision module.
-    pub entry: DirectoryEntry,
+    /// The member, as passed to the controller.
+    pub member: Member,
     /// Address on which the exchange accepts connections.
     pub address: SocketAddr,
 }
 
-/// An update of the list of exchanges.
+/// An update of the membership.
 #[derive(Debug, Clone)]
-pub struct ListUpdate {
-    /// Whether the update holds the full list, rather than changes to it.
-    pub is_full_list: bool,
+pub struct MembershipUpdate {
+    /// Whether the update holds the full membership, rather than changes to it.
+    pub is_full: bool,
     /// The exchanges that the update reports.
     pub exchanges: Vec<ListedExchange>,
 }
 
-/// Configuration of the ENUM front (key `enum`).
+/// Configuration of the ENUM front end (key `enum`).
 #[derive(Debug, Clone)]
 pub struct EnumConfig {
     /// Address on which resolvers' queries are received; `None` if numbers are looked up for calls only.
@@ -173,7 +173,7 @@
     pub window_per_upstream: usize,
     /// Node that serves each host of a SIP URI; hosts are in lower case.
     pub routes: HashMap<String, NodeNumber>,
-    /// Settings of the front's own decision module.
+    /// Settings of the front end's own controller.
     pub settings: Settings,
 }
 
@@ -209,9 +209,9 @@
     pub coordinator: Option<SocketAddr>,
     /// Number of the last event contained in `known_updates`.
     pub last_known_event: u64,
-    /// Updates of the list of exchanges that are known at the start.
-    pub known_updates: Vec<ListUpdate>,
-    /// Settings of the decision module.
+    /// Updates of the membership that are known at the start.
+    pub known_updates: Vec<MembershipUpdate>,
+    /// Settings of the controller.
     pub settings: Settings,
     /// Names of the classes, indexed by class number.
     pub class_names: Vec<String>,
@@ -219,8 +219,8 @@
     pub gauge_names: Vec<String>,
     /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// ENUM front; `None` if it is not configured.
-    pub enum_front: Option<EnumConfig>,
+    /// ENUM front end; `None` if it is not configured.
+    pub enum_front_end: Option<EnumConfig>,
     /// Virtual router; `None` if it is not configured.
     pub vrrp: Option<VrrpConfig>,
     /// Whether commands are read from standard input.
@@ -282,7 +282,7 @@
                 connect_timeout
             },
             settings: read_settings(&settings)?,
-            enum_front: read_enum(&root.get("enum"))?,
+            enum_front_end: read_enum(&root.get("enum"))?,
             vrrp: read_vrrp(&root.get("vrrp"))?,
             has_console: root.get("console").boolean(false)?,
         })
@@ -292,7 +292,8 @@
 impl Config {
     /// Returns the keys that differ in `new` and take effect only after a restart.
     pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
-        let enum_front = |c: &Self| c.enum_front.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
+        let enum_front_end =
+            |c: &Self| c.enum_front_end.as_ref().map(|e| (e.listen, format!("{:?}", e.settings)));
         let virtual_router =
             |c: &Self| c.vrrp.as_ref().map(|v| (v.listen, v.router.vrid, v.router.addresses.clone()));
         let settings = |c: &Self| (c.class_names.clone(), c.gauge_names.clone(), format!("{:?}", c.settings));
@@ -302,7 +303,7 @@
             ("peer_listen", self.peer_listen != new.peer_listen),
             ("settings", settings(self) != settings(new)),
             ("console", self.has_console != new.has_console),
-            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front(self) != enum_front(new)),
+            ("enum.listen/query_timeout_ms/guard_ms/attempts", enum_front_end(self) != enum_front_end(new)),
             ("vrrp.listen/vrid/addresses", virtual_router(self) != virtual_router(new)),
         ];
         changed.into_iter().filter(|(_, differs)| *differs).map(|(key, _)| key).collect()
@@ -349,7 +350,7 @@
         return share.invalid("must be between 0 and 1");
     }
     let routes = root.get("routes");
-    let mut hosts = HashMap::new();
+    let mut node_by_host = HashMap::new();
     for host in
         routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>()).into_iter().flat_map(|m| m.keys())
     {
@@ -357,12 +358,12 @@
         let fields = routes.value.and_then(|v| v.get::<HashMap<String, JsonValue>>());
         let node =
             ConfigNode { path: format!("enum.routes.{host}"), value: fields.and_then(|f| f.get(host)) };
-        hosts.insert(host.to_ascii_lowercase(), NodeNumber(node.whole_u32(0)?));
+        node_by_host.insert(host.to_ascii_lowercase(), NodeNumber(node.whole_u32(0)?));
     }
     let upstreams = read_addresses(&root.get("upstreams"))?;
     let window = read_bounded(&root.get("window"), 64, 1, 256)?;
     let answer_within = read_millis(&root.get("answer_within_ms"), 4000)?;
-    let guard = read_millis(&root.get("guard_ms"), 500)?;
+    let guard_time = read_millis(&root.get("guard_ms"), 500)?;
     let query_timeout = read_millis(&root.get("query_timeout_ms"), 1500)?;
     let attempts = read_bounded(&root.get("attempts"), 4, 1, 16)?;
     Ok(Some(EnumConfig {
@@ -373,28 +374,29 @@
         look_up_share,
         max_look_ups: read_bounded(&root.get("most_look_ups"), 512, 8, 65_536)? as usize,
         window_per_upstream: window as usize,
-        routes: hosts,
-        settings: upstream_settings(query_timeout, guard, attempts as u32),
+        routes: node_by_host,
+        settings: upstream_settings(query_timeout, guard_time, attempts as u32),
         upstreams,
     }))
 }
 
-/// Target delay as a multiple of the query time-out. The decision module takes an answer within a fifth of
-/// the target delay for a sign of spare capacity; with this multiple, every reply before the time-out is one.
-const TARGET_DELAY_TIMEOUTS: u32 = 5;
+/// Latency objective as a multiple of the query time-out. The controller takes an answer within a fifth of
+/// the latency objective for a sign of spare capacity; with this multiple, every reply before the time-out is
+/// one.
+const LATENCY_OBJECTIVE_TIMEOUTS: u32 = 5;
 
-/// Returns the settings of a decision module whose exchanges are DNS servers, that is, pools open to every
+/// Returns the settings of a controller whose exchanges are DNS servers, that is, pools open to every
 /// look-up. Look-ups for calls have a higher value than resolvers' queries, so they take precedence.
 ///
-/// The target delay derives from the query time-out, because every reply that arrives before the time-out is
-/// equally good. With the caller's remaining time as target delay, a slow but healthy server was taken for
-/// overloaded, and few look-ups were sent to it.
-fn upstream_settings(query_timeout: Duration, guard: Duration, max_attempts: u32) -> Settings {
-    let target_delay = TARGET_DELAY_TIMEOUTS * query_timeout;
-    let class = |worth| Class {
-        target_delay,
-        deadline: target_delay,
-        value: worth,
+/// The latency objective derives from the query time-out, because every reply that arrives before the
+/// time-out is equally good. With the caller's remaining time as latency objective, a slow but healthy server
+/// was taken for overloaded, and few look-ups were sent to it.
+fn upstream_settings(query_timeout: Duration, guard_time: Duration, max_attempts: u32) -> Settings {
+    let latency_objective = LATENCY_OBJECTIVE_TIMEOUTS * query_timeout;
+    let class = |value| Class {
+        latency_objective,
+        deadline: latency_objective,
+        value,
         late_value_share: 0.5,
         idempotency: Idempotency::Safe,
         circuits: 1,
@@ -408,13 +410,13 @@
         fleet_size: 1,
         controller_number: 0,
         topology: Topology::Pools,
-        guard_time: guard,
+        guard_time,
         resend_interval: Duration::ZERO,
         rules: RuleSettings::default(),
         limits: PolicyLimits { max_attempts, ..PolicyLimits::default() },
         gauges: vec![Gauge::FreeCircuits, Gauge::TotalCircuits],
         penalties: Penalties::default(),
-        directory_polled: false,
+        membership_polled: false,
         redials_flagged: true,
         has_route_advice: false,
         tick: Duration::from_millis(5),
@@ -447,11 +449,15 @@
     }))
 }
 
-fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListUpdate> {
-    let list = event.get("endpoints");
-    let exchanges =
-        list.get("hosts").items()?.iter().map(|h| read_exchange(h, zones)).collect::<ConfigResult<_>>()?;
-    Ok(ListUpdate { is_full_list: list.get("whole").boolean(false)?, exchanges })
+fn read_update(event: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<MembershipUpdate> {
+    let endpoints = event.get("endpoints");
+    let exchanges = endpoints
+        .get("hosts")
+        .items()?
+        .iter()
+        .map(|h| read_exchange(h, zones))
+        .collect::<ConfigResult<_>>()?;
+    Ok(MembershipUpdate { is_full: endpoints.get("whole").boolean(false)?, exchanges })
 }
 
 fn read_exchange(host: &ConfigNode<'_>, zones: &[String]) -> ConfigResult<ListedExchange> {
@@ -463,17 +469,17 @@
         "left" => Health::Gone,
         _ => return state.invalid("must be active, leaving or left"),
     };
-    let entry = DirectoryEntry {
+    let member = Member {
         exchange: ExchangeId(host.get("host").text()?.into()),
         node: NodeNumber(host.get("block").whole_u32(0)?),
         zone: zone.and_then(|z| zones.iter().position(|n| n == z)).unwrap_or(0) as u32,
         health,
         up_since: Some(host.get("born_ms").whole_number(0)?).filter(|ms| *ms > 0).map(Duration::from_millis),
     };
-    Ok(ListedExchange { entry, address: host.get("dial").address()? })
+    Ok(ListedExchange { member, address: host.get("dial").address()? })
 }
 
-/// Reads the settings of the decision module. The keys are those of the first message of the simulator.
+/// Reads the settings of the controller. The keys are those of `Info` in the adapter's `Boot` event.
 fn read_settings(root: &ConfigNode<'_>) -> ConfigResult<Settings> {
     let (domain, contract, limits) = (root.get("Domain"), root.get("Contract"), root.get("PolicyLimits"));
     let penalties = root.get("Penalties");
@@ -490,18 +496,18 @@
     if classes.is_empty() {
         return root.get("Classes").invalid("must name a class");
     }
-    let widths = domain.get("ChannelsNeeded").items()?;
-    let holds = domain.get("ClassHoldNs").items()?;
+    let circuits = domain.get("ChannelsNeeded").items()?;
+    let holding_times = domain.get("ClassHoldNs").items()?;
     let pools = domain.get("SkilledPools").items()?;
     let classes = classes.iter().enumerate().map(|(i, class)| {
         Ok(Class {
-            target_delay: class.get("AimNs").duration_ns()?,
+            latency_objective: class.get("AimNs").duration_ns()?,
             deadline: class.get("DeadlineNs").duration_ns()?,
             value: class.get("Worth").number(0.0)?,
             late_value_share: class.get("LateShare").number(0.0)?,
             idempotency: read_idempotency(class)?,
-            circuits: widths.get(i).map_or(Ok(1), |w| w.whole_u32(1))?,
-            mean_holding_time: holds.get(i).map_or(Ok(Duration::ZERO), ConfigNode::duration_ns)?,
+            circuits: circuits.get(i).map_or(Ok(1), |w| w.whole_u32(1))?,
+            mean_holding_time: holding_times.get(i).map_or(Ok(Duration::ZERO), ConfigNode::duration_ns)?,
             pools: match pools.get(i) {
                 None => Vec::new(),
                 Some(list) => list
@@ -536,8 +542,8 @@
             cancel_allowed: limits.get("Cancelling").boolean(false)?,
             probes_allowed: limits.get("Probes").boolean(false)?,
             peer_messages_allowed: limits.get("Peers").boolean(false)?,
-            retry_after_allowed: limits.get("RetryAfter").boolean(false)?,
-            max_retry_after: limits.get("MaxRetryAfterNs").duration_ns()?,
+            hold_off_allowed: limits.get("RetryAfter").boolean(false)?,
+            max_hold_off: limits.get("MaxRetryAfterNs").duration_ns()?,
         },
         gauges: read_gauges(&root.get("Stats").get("Names"))?,
         penalties: Penalties {
@@ -546,7 +552,7 @@
             probe: penalties.get("Probe").number(0.0)?,
             peer_message: penalties.get("Peer").number(0.0)?,
         },
-        directory_polled: root.get("RegistryMode").optional_text()? == Some("ask"),
+        membership_polled: root.get("RegistryMode").optional_text()? == Some("ask"),
         redials_flagged: root.get("Clients").get("MarksRetry").boolean(false)?,
         has_route_advice: domain.get("Advice").boolean(false)?,
         tick: root.get("TickNs").duration_ns()?,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! TCP connections with a buffered writer, and the timers of the fronts.
+//! TCP connections with a buffered writer, and the timers of the front ends.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -69,7 +69,7 @@
     Silent,
     /// No request has been open for a long time.
     Idle,
-    /// It made room for another connection.
+    /// It was closed so that another connection could be opened.
     Evicted,
     /// The peer read too slowly, so that too many bytes were waiting to be sent.
     WriteBufferFull,
@@ -208,6 +208,7 @@
         self.close(reason);
     }
 
+    /// Counts bytes that were added to the unsent ones or removed from them, here and in the shared budget.
     fn account(&self, added: usize, removed: usize) {
         self.unsent.set(self.unsent.get() + added - removed);
         self.budget.used.set(self.budget.used.get() + added - removed);
@@ -222,6 +223,7 @@
         }
     }
 
+    /// Records why the connection is closing; the first reason is kept.
     fn mark_closing(&self, reason: CloseReason) {
         self.close_reason.set(self.close_reason.get().or(Some(reason)));
     }
@@ -277,6 +279,7 @@
 }
 
 impl<F: FnMut(&[u8]) -> ControlFlow<()>> Connection<'_, F> {
+    /// Reads and writes until the connection ends or the buffer is closed.
     async fn run(&mut self) -> io::Result<()> {
         let mut input = vec![0; READ_SIZE];
         while self.writes.is_open() {
@@ -309,6 +312,7 @@
         self.written < self.output.len()
     }
 
+    /// Takes the queued bytes as the next output, unless bytes of the last output are still unwritten.
     fn take_queued(&mut self) {
         if self.has_output() {
             return;
@@ -343,6 +347,8 @@
         Ok(())
     }
 
+    /// Writes the queued bytes and reads the bytes that have arrived, in turn, until none arrive or after
+    /// `MAX_FINAL_READS` times.
     async fn flush_and_read_available(&mut self, input: &mut [u8]) -> io::Result<()> {
         for _ in 0..MAX_FINAL_READS {
             self.flush().await?;
@@ -353,6 +359,7 @@
         self.flush().await
     }
 
+    /// Passes bytes to `on_bytes`, which decides whether more are read.
     fn deliver(&mut self, bytes: &[u8]) {
         self.is_reading = (self.on_bytes)(bytes).is_continue();
     }
@@ -369,6 +376,7 @@
         }
     }
 
+    /// Writes all queued bytes.
     async fn flush(&mut self) -> io::Result<()> {
         loop {
             self.take_queued();
@@ -393,6 +401,7 @@
         has_read
     }
 
+    /// Reads and drops bytes until the peer closes its side.
     async fn discard(&mut self, input: &mut [u8]) {
         while let Ok(1..) = self.reader.read(input).await {}
     }
@@ -419,10 +428,10 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Write buffer shared between the connection's task and its front.
+/// Write buffer shared between the connection's task and its front end.
 pub type SharedWriteBuffer = Rc<WriteBuffer>;
 
-/// A front with work that is due at certain times.
+/// A front end with work that is due at certain times.
 pub trait TimerDriven {
     /// Returns when [`TimerDriven::run_due`] has to be called next.
     fn next_due(&self) -> Option<Duration>;
@@ -436,26 +445,26 @@
 ///
 /// `rescheduled` is notified whenever work may have become due earlier than before.
 pub async fn run_timers<T: TimerDriven>(
-    front: Rc<RefCell<T>>,
+    front_end: Rc<RefCell<T>>,
     clock: Clock,
     rescheduled: Rc<Notify>,
     sweep_interval: Duration,
 ) {
     let mut next_sweep = clock.now();
     loop {
-        let next = front.borrow().next_due().map_or(next_sweep, |at| at.min(next_sweep));
+        let next = front_end.borrow().next_due().map_or(next_sweep, |at| at.min(next_sweep));
         tokio::select! {
             () = tokio::time::sleep_until(clock.instant_at(next)) => {}
             () = rescheduled.notified() => {}
         }
-        let mut front = front.borrow_mut();
+        let mut front_end = front_end.borrow_mut();
         let now = clock.now();
-        if front.next_due().is_some_and(|at| at <= now) {
-            front.run_due(now);
+        if front_end.next_due().is_some_and(|at| at <= now) {
+            front_end.run_due(now);
         }
         if now >= next_sweep {
             next_sweep = now + sweep_interval;
-            front.sweep(now);
+            front_end.sweep(now);
         }
     }
 }
--- a/src/net/enumeration.rs
+++ b/src/net/enumeration.rs
@@ -1,8 +1,8 @@
-//! The ENUM front (RFC 6116): answers NAPTR queries of resolvers, and looks up numbers of calls that have no
-//! destination.
+//! The ENUM front end (RFC 6116): answers NAPTR queries of resolvers, and looks up numbers of calls that have
+//! no destination.
 //!
 //! Both kinds of look-up are requests to a separate core, whose exchanges are the upstream DNS servers and
-//! whose decision module treats them as pools. Each query to an upstream server is an attempt.
+//! whose controller treats them as pools. Each query to an upstream server is an attempt.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -58,7 +58,7 @@
     /// The number does not exist, or none of its records leads to a host that is served here.
     NotFound,
     /// The look-up failed or took too long.
-    Unknown,
+    Failed,
 }
 
 /// Where the result of a look-up goes.
@@ -68,6 +68,7 @@
     Call(oneshot::Sender<Option<LookUpResult>>),
 }
 
+/// An upstream DNS server.
 #[derive(Debug)]
 struct Upstream {
     address: SocketAddr,
@@ -75,10 +76,10 @@
     queries: HashMap<CallId, AbortHandle>,
 }
 
-/// The state of the ENUM front.
+/// The state of the ENUM front end.
 #[derive(Debug)]
-pub struct EnumFront {
-    self_ref: Weak<RefCell<EnumFront>>,
+pub struct EnumFrontEnd {
+    weak_self: Weak<RefCell<EnumFrontEnd>>,
     /// Core that schedules the look-ups.
     pub core: Core,
     clock: Clock,
@@ -93,22 +94,22 @@
     resolver_queries: HashSet<(SocketAddr, u16)>,
     /// Name that each pending look-up asks for.
     names: HashMap<CallId, Name>,
-    /// Answers of upstream servers that the core has not concluded yet.
+    /// Answers of upstream servers that their requesters have not been given yet.
     results: HashMap<CallId, LookUpResult>,
     upstreams: BTreeMap<ExchangeId, Upstream>,
     last_number: u64,
     /// Notified when the next due time may have changed.
-    due_changed: Rc<Notify>,
+    timers_changed: Rc<Notify>,
 }
 
-/// Shared handle to the front. Tasks must not hold a borrow across an await.
-pub type Handle = Rc<RefCell<EnumFront>>;
+/// Shared handle to the front end. Tasks must not hold a borrow across an await.
+pub type Handle = Rc<RefCell<EnumFrontEnd>>;
 
-impl EnumFront {
-    /// Creates the front and its core.
+impl EnumFrontEnd {
+    /// Creates the front end and its core.
     ///
     /// # Errors
-    /// If the decision module rejects the settings.
+    /// Returns an error if the controller rejects the settings.
     pub fn new(
         config: &EnumConfig,
         seed: u64,
@@ -118,9 +119,9 @@
     ) -> Result<Handle, SettingsError> {
         let now = clock.now();
         let core = Core::new(Controller::new(config.settings.clone(), seed, now)?, Exchanges::default(), now);
-        Ok(Rc::new_cyclic(|self_ref| {
-            let mut front = Self {
-                self_ref: self_ref.clone(),
+        Ok(Rc::new_cyclic(|weak_self| {
+            let mut front_end = Self {
+                weak_self: weak_self.clone(),
                 core,
                 clock,
                 log,
@@ -133,10 +134,10 @@
                 results: HashMap::new(),
                 upstreams: BTreeMap::new(),
                 last_number: 0,
-                due_changed: Rc::default(),
+                timers_changed: Rc::default(),
             };
-            front.apply_upstreams();
-            RefCell::new(front)
+            front_end.apply_upstreams();
+            RefCell::new(front_end)
         }))
     }
 
@@ -144,14 +145,14 @@
     /// run to completion.
     fn apply_upstreams(&mut self) {
         let id = |address: &SocketAddr| ExchangeId(address.to_string().into());
-        let entries = self.config.upstreams.iter().zip(0..).map(|(address, number)| DirectoryEntry {
+        let members = self.config.upstreams.iter().zip(0..).map(|(address, number)| Member {
             exchange: id(address),
             node: NodeNumber(number),
             zone: 0,
             health: Health::Live,
             up_since: None,
         });
-        self.core.update_directory(self.clock.now(), UpdateKind::Full, entries.collect());
+        self.core.update_membership(self.clock.now(), UpdateKind::Full, members.collect());
         for address in &self.config.upstreams {
             let upstream = Upstream { address: *address, queries: HashMap::new() };
             self.upstreams.entry(id(address)).or_insert(upstream);
@@ -161,7 +162,7 @@
         self.report_capacity();
     }
 
-    /// Applies a new configuration while look-ups continue. The settings of the decision module, the query
+    /// Applies a new configuration while look-ups continue. The settings of the controller, the query
     /// time-out and the socket stay as they were at the start.
     pub fn reload(&mut self, config: &EnumConfig) {
         let EnumConfig { listen, query_timeout, settings, .. } = self.config.clone();
@@ -199,13 +200,13 @@
     }
 
     /// Starts a look-up.
-    fn begin(&mut self, requester: Requester, class: usize, name: Name, remaining: Duration) {
+    fn start_look_up(&mut self, requester: Requester, class: usize, name: Name, remaining: Duration) {
         self.last_number += 1;
         let id = CallId(format!("{:016x}", self.last_number).into());
         let number: Arc<str> = name.to_string().into();
         self.requesters.insert(id.clone(), requester);
         self.names.insert(id.clone(), name);
-        let offer = OfferedCall {
+        let offered = OfferedCall {
             call: id,
             class,
             tenant: 0,
@@ -218,7 +219,7 @@
             is_transit: false,
             is_reconnect: false,
         };
-        let request = Request { origin: Origin(self.last_number), offered: offer, description: "".into() };
+        let request = Request { origin: Origin(self.last_number), offered, description: "".into() };
         self.core.handle_request(self.clock.now(), request);
         self.flush();
     }
@@ -233,11 +234,11 @@
             return; // answering a response could start an endless exchange between two servers
         }
         let Some(query) = dns::decode(bytes) else {
-            return self.send_to_client(from, &dns::format_error_response(id));
+            return self.send_to_resolver(from, &dns::format_error_response(id));
         };
         let name = match dns::validate_query(&query, &self.config.zone) {
             Ok(name) => name,
-            Err(rcode) => return self.send_to_client(from, &dns::response(&query, rcode, &[])),
+            Err(rcode) => return self.send_to_resolver(from, &dns::response(&query, rcode, &[])),
         };
         if self.resolver_queries.contains(&(from, id)) {
             return;
@@ -248,14 +249,15 @@
         let from_same_address =
             self.resolver_queries.iter().filter(|(resolver, _)| resolver.ip() == from.ip()).count();
         if self.requesters.len() >= limit || from_same_address >= limit.div_ceil(2) {
-            return self.send_to_client(from, &dns::response(&query, dns::SERVFAIL, &[]));
+            return self.send_to_resolver(from, &dns::response(&query, dns::SERVFAIL, &[]));
         }
         self.resolver_queries.insert((from, id));
         let within = self.config.answer_within;
-        self.begin(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
+        self.start_look_up(Requester::Resolver { from, query }, RESOLVER_CLASS, name, within);
     }
 
-    fn send_to_client(&self, to: SocketAddr, bytes: &[u8]) {
+    /// Sends a response; nothing is sent if no address for queries is configured.
+    fn send_to_resolver(&self, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = &self.socket {
             if let Err(e) = socket.try_send_to(bytes, to) {
                 debug!(self.log, "response not sent"; "error" => %e);
@@ -272,9 +274,10 @@
             }
             effects.into_iter().for_each(|effect| self.execute(effect));
         }
-        self.due_changed.notify_one();
+        self.timers_changed.notify_one();
     }
 
+    /// Executes one effect of the core.
     fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::SendSetUp { exchange, call, remaining, .. } => {
@@ -285,16 +288,16 @@
             }
             Effect::Answer { call, .. } => {
                 let result = self.results.remove(&call);
-                self.conclude(&call, result);
+                self.finish_look_up(&call, result);
             }
-            Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.conclude(&call, None),
+            Effect::Refuse { call, .. } | Effect::Fail { call, .. } => self.finish_look_up(&call, None),
             Effect::Log(line) => info!(self.log, "{}", line; "front" => "enum"),
             Effect::ReleaseAtExchange { .. } | Effect::ReleaseAtClient { .. } | Effect::Broadcast(_) => {}
         }
     }
 
     /// Gives the requester of a look-up its only answer; `None` if the look-up failed.
-    fn conclude(&mut self, call: &CallId, result: Option<LookUpResult>) {
+    fn finish_look_up(&mut self, call: &CallId, result: Option<LookUpResult>) {
         self.names.remove(call);
         match self.requesters.remove(call) {
             Some(Requester::Resolver { from, query }) => {
@@ -303,7 +306,7 @@
                     Some(result) => dns::response(&query, result.rcode, &result.records),
                     None => dns::response(&query, dns::SERVFAIL, &[]),
                 };
-                self.send_to_client(from, &response);
+                self.send_to_resolver(from, &response);
             }
             // Fails if the task that waits for the result has ended.
             Some(Requester::Call(sender)) => drop(sender.send(result)),
@@ -319,20 +322,22 @@
     }
 
     /// Starts a task that sends one query to an upstream server and waits for the reply until the time-out.
-    fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, left: Duration) {
-        let (Some(front), Some(name)) = (self.self_ref.upgrade(), self.names.get(call).cloned()) else {
+    fn send_query(&mut self, exchange: &ExchangeId, call: &CallId, remaining: Duration) {
+        let (Some(front_end), Some(name)) = (self.weak_self.upgrade(), self.names.get(call).cloned()) else {
             return;
         };
         let Some(upstream) = self.upstreams.get_mut(exchange) else { return };
-        let (address, timeout) = (upstream.address, left.min(self.config.query_timeout));
+        let (address, timeout) = (upstream.address, remaining.min(self.config.query_timeout));
         let (exchange, id) = (exchange.clone(), call.clone());
         let task = tokio::task::spawn_local(async move {
             let reply = tokio::time::timeout(timeout, query_upstream(address, &name)).await;
-            front.borrow_mut().on_reply(&exchange, &id, reply.unwrap_or(Err(QueryError::TimedOut)));
+            front_end.borrow_mut().on_reply(&exchange, &id, reply.unwrap_or(Err(QueryError::TimedOut)));
         });
         upstream.queries.insert(call.clone(), task.abort_handle());
     }
 
+    /// Handles the result of a query to an upstream server: the core then answers the look-up or queries
+    /// another server.
     fn on_reply(&mut self, exchange: &ExchangeId, call: &CallId, reply: Result<Message, QueryError>) {
         self.end_query(exchange, call);
         let now = self.clock.now();
@@ -406,6 +411,7 @@
     Ok(query_over_tcp(upstream, name).await.unwrap_or(reply))
 }
 
+/// Sends the query over TCP and returns the reply.
 async fn query_over_tcp(upstream: SocketAddr, name: &Name) -> Result<Message, QueryError> {
     let unreachable = |_: io::Error| QueryError::Unreachable;
     let mut stream = TcpStream::connect(upstream).await.map_err(unreachable)?;
@@ -430,7 +436,7 @@
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let length = socket.recv(&mut buffer).await.map_err(unreachable)?;
-        // A corrupt reply ends the wait, so that another server is asked at once instead of after the
+        // A corrupt reply ends the wait, so that another server is queried at once instead of after the
         // time-out.
         let reply = dns::decode(&buffer[..length]).or_else(|| dns::decode_corrupt(&buffer[..length]));
         let Some(reply) = reply else { continue };
@@ -443,29 +449,29 @@
 // ---- tasks -------------------------------------------------------------------------------------
 
 /// Resolves the number of a call within a time limit, following non-terminal records.
-pub async fn resolve(front: Handle, number: String, time_limit: Duration) -> Resolution {
+pub async fn resolve(front_end: Handle, number: String, time_limit: Duration) -> Resolution {
     let search = async {
-        let zone = front.borrow().config.zone.clone();
+        let zone = front_end.borrow().config.zone.clone();
         let Some(mut name) = dns::name_for_number(&number, &zone) else { return Resolution::NotFound };
         let digits: String = number.chars().filter(char::is_ascii_digit).collect();
         let (e164_number, deadline) = (format!("+{digits}"), tokio::time::Instant::now() + time_limit);
         for _ in 0..MAX_LOOK_UPS_PER_CALL {
             let (sender, receiver) = oneshot::channel();
             {
-                let mut front = front.borrow_mut();
-                if front.requesters.len() >= front.config.max_look_ups {
-                    return Resolution::Unknown;
+                let mut front_end = front_end.borrow_mut();
+                if front_end.requesters.len() >= front_end.config.max_look_ups {
+                    return Resolution::Failed;
                 }
-                let left = deadline.saturating_duration_since(tokio::time::Instant::now());
-                front.begin(Requester::Call(sender), CALL_CLASS, name.clone(), left);
+                let remaining = deadline.saturating_duration_since(tokio::time::Instant::now());
+                front_end.start_look_up(Requester::Call(sender), CALL_CLASS, name.clone(), remaining);
             }
-            let Ok(Some(result)) = receiver.await else { return Resolution::Unknown };
+            let Ok(Some(result)) = receiver.await else { return Resolution::Failed };
             let targets = dns::targets(&result.records, &e164_number);
             // Hosts that are not served here are skipped. A name that refers to itself ends the search.
-            let front = front.borrow();
+            let front_end = front_end.borrow();
             let next = targets.iter().find_map(|target| match target {
                 Target::Name(next_name) => Some(Err(next_name.clone())),
-                uri => front.node_for(uri).map(Ok),
+                uri => front_end.node_for(uri).map(Ok),
             });
             match next {
                 Some(Ok(node)) => return Resolution::RouteTo(node),
@@ -475,19 +481,19 @@
         }
         Resolution::NotFound
     };
-    tokio::time::timeout(time_limit, search).await.unwrap_or(Resolution::Unknown)
+    tokio::time::timeout(time_limit, search).await.unwrap_or(Resolution::Failed)
 }
 
 /// Receives resolvers' queries on a socket.
-pub async fn serve_queries(front: Handle, socket: UdpSocket) {
+pub async fn serve_queries(front_end: Handle, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    front.borrow_mut().socket = Some(socket.clone());
+    front_end.borrow_mut().socket = Some(socket.clone());
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     let mut received = 0;
     loop {
         match socket.recv_from(&mut buffer).await {
-            Ok((length, from)) => front.borrow_mut().on_datagram(from, &buffer[..length]),
-            Err(e) => warn!(front.borrow().log, "query not read"; "error" => %e),
+            Ok((length, from)) => front_end.borrow_mut().on_datagram(from, &buffer[..length]),
+            Err(e) => warn!(front_end.borrow().log, "query not read"; "error" => %e),
         }
         received += 1;
         if received % QUERIES_PER_TURN == 0 {
@@ -496,7 +502,7 @@
     }
 }
 
-impl TimerDriven for EnumFront {
+impl TimerDriven for EnumFrontEnd {
     fn next_due(&self) -> Option<Duration> {
         self.core.next_due()
     }
@@ -513,7 +519,7 @@
 }
 
 /// Runs the timers of the core, and reports the capacity of the upstream servers at an interval.
-pub async fn run_timers(front: Handle) {
-    let (clock, due_changed) = (front.borrow().clock, front.borrow().due_changed.clone());
-    connection::run_timers(front, clock, due_changed, REPORT_INTERVAL).await;
+pub async fn run_timers(front_end: Handle) {
+    let (clock, timers_changed) = (front_end.borrow().clock, front_end.borrow().timers_changed.clone());
+    connection::run_timers(front_end, clock, timers_changed, REPORT_INTERVAL).await;
 }
--- a/src/net/exchange_pool.rs
+++ b/src/net/exchange_pool.rs
@@ -13,8 +13,8 @@
 /// Number of connections kept open to a listed exchange.
 ///
 /// If a single connection stopped delivering, all set-ups on it would be lost with it. A second connection
-/// that still receives messages shows the fault early enough to repeat those set-ups within their target
-/// delay; new set-ups use the connection that received a message last.
+/// that still receives messages shows the fault early enough to repeat those set-ups within their latency
+/// objective; new set-ups use the connection that received a message last.
 const MIN_IDLE_CONNECTIONS: usize = 2;
 /// Pause before the next connect after the first failed one; it doubles with each further failure.
 const INITIAL_CONNECT_BACKOFF: Duration = Duration::from_millis(100);
@@ -38,8 +38,8 @@
 /// Time without a message after which the calls of an unreachable exchange are released.
 ///
 /// A release is due 8 s after the end of its call, even if the exchange could not send it. Any call that was
-/// established when the exchange was last heard may have ended since, so all of them are released; those that
-/// are still established are cut off.
+/// established when the last message of the exchange arrived may have ended since, so all of them are
+/// released; those that are still established are cut off.
 const OUT_OF_REACH_TIMEOUT: Duration = Duration::from_millis(7400);
 /// Maximum number of releases that wait for a connection.
 const MAX_QUEUED_RELEASES: usize = 4096;
@@ -48,6 +48,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
+/// One connection to the exchange.
 #[derive(Debug)]
 struct PooledConnection {
     id: ConnectionId,
@@ -82,7 +83,7 @@
     /// Address on which the exchange listens.
     pub address: SocketAddr,
     is_listed: bool,
-    /// Time at which the exchange was last removed from the list.
+    /// Time at which the exchange was last removed from the membership.
     removed_at: Duration,
     /// If a set-up waits on a connection and nothing is received for this long, a second one is opened beside
     /// it.
@@ -159,13 +160,15 @@
         self.connections.len()
     }
 
+    /// Returns the open connection on which to send: preferably one that is neither retired nor silent, and
+    /// of those the one that received a message last.
     fn best_connection(&mut self) -> Option<&mut PooledConnection> {
         let open = self.connections.iter_mut().filter(|c| c.writes.is_open());
         open.max_by_key(|c| (!c.is_retired, c.silent_since.is_none(), c.last_received_at, c.id))
     }
 
     /// Sends a set-up, or queues it and makes a connect due at once.
-    pub fn start(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
+    pub fn send_set_up(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
         match self.best_connection().filter(|c| !c.is_retired) {
             Some(connection) => {
                 connection.writes.enqueue(&bytes);
@@ -180,7 +183,7 @@
     }
 
     /// Cancels a set-up or releases a call, on the connection of its set-up if that is open, else on any.
-    pub fn finish(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
+    pub fn send_release(&mut self, now: Duration, call: &CallId, bytes: Vec<u8>) {
         let queued = self.queue.len();
         self.queue.retain(|(id, _)| id.as_ref() != Some(call));
         if queued != self.queue.len() {
--- a/src/net/platform/effects.rs
+++ b/src/net/platform/effects.rs
@@ -1,9 +1,9 @@
-//! Carries out the core's effects as messages to clients, exchanges and other routers.
+//! Executes the core's effects: sends messages to clients, exchanges and other routers.
 
 use super::*;
 
 impl Platform {
-    /// Carries out the pending effects of the core.
+    /// Executes the effects of the core until none is left.
     pub(super) fn flush(&mut self) {
         loop {
             let effects = self.core.take_effects();
@@ -11,13 +11,14 @@
                 break;
             }
             for effect in effects {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
         self.timers_changed.notify_one();
     }
 
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    /// Executes one effect of the core.
+    pub(super) fn execute(&mut self, effect: Effect) {
         let now = self.clock.now();
         match effect {
             Effect::SendSetUp { exchange, call, class, called_number, remaining, description } => {
@@ -27,7 +28,7 @@
                     "left_ms" => remaining.as_millis());
                 self.metrics.count_attempt();
                 if let Some(pool) = self.pools.get_mut(&exchange) {
-                    pool.start(now, &call, bytes);
+                    pool.send_set_up(now, &call, bytes);
                 }
                 self.connect_if_needed(&exchange);
             }
@@ -38,12 +39,12 @@
                 match exchange {
                     Some(exchange) => {
                         if let Some(pool) = self.pools.get_mut(&exchange) {
-                            pool.finish(now, &call, bytes);
+                            pool.send_release(now, &call, bytes);
                         }
                     }
                     None => {
                         for pool in self.pools.values_mut().filter(|pool| pool.is_listed()) {
-                            pool.finish(now, &call, bytes.clone());
+                            pool.send_release(now, &call, bytes.clone());
                         }
                     }
                 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,6 +1,6 @@
-//! The call front: clients speak SIP, exchanges JSON lines, and the coordinator sends the exchange list.
+//! The call front end: clients speak SIP, exchanges JSON lines, and the coordinator sends the membership.
 //!
-//! The front turns messages into requests and replies for the core, and the core's effects into messages.
+//! The front end turns messages into requests and replies for the core, and the core's effects into messages.
 
 mod clients;
 mod effects;
@@ -23,7 +23,7 @@
 use crate::call::core::{Core, Effect, Reply, Request, CAUSE_NORMAL_CLEARING, CAUSE_TEMPORARY_FAILURE};
 use crate::call::exchanges::Exchanges;
 use crate::interface::*;
-use crate::lifecycle::config::{Config, ListUpdate, ListedExchange};
+use crate::lifecycle::config::{Config, ListedExchange, MembershipUpdate};
 use crate::metrics::Metrics;
 use crate::net::connection::{
     self, Clock, CloseReason, SharedWriteBuffer, TimerDriven, WriteBudget, WriteBuffer,
@@ -89,12 +89,13 @@
 }
 
 impl UnconfirmedRelease {
+    /// Returns the time at which the release is to be repeated.
     fn retry_at(&self) -> Duration {
         self.sent_at + RELEASE_RETRY * (1 << (self.send_count - 1).min(MAX_RELEASE_SENDS))
     }
 }
 
-/// The call front with its core, its connections and its open requests.
+/// The call front end with its core, its connections and its open requests.
 #[derive(Debug)]
 pub struct Platform {
     weak_self: Weak<RefCell<Platform>>,
@@ -122,9 +123,9 @@
     is_stopped: bool,
     client_budget: Rc<WriteBudget>,
     server_budget: Rc<WriteBudget>,
-    /// Hold-off in milliseconds for callers that are refused without a hold-off from the decision module.
+    /// Hold-off in milliseconds for callers that are refused without a hold-off from the controller.
     hold_off: Option<u128>,
-    /// ENUM front that resolves numbers, if configured, and the share of a call's time that a look-up may
+    /// ENUM front end that resolves numbers, if configured, and the share of a call's time that a look-up may
     /// take.
     look_up: Option<(enumeration::Handle, f64)>,
     started_at: Duration,
@@ -140,14 +141,14 @@
     pub(in crate::net) timers_changed: Rc<Notify>,
 }
 
-/// Shared handle to the front. All tasks run on one thread, and none keeps a borrow across an await.
+/// Shared handle to the front end. All tasks run on one thread, and none keeps a borrow across an await.
 pub type Handle = Rc<RefCell<Platform>>;
 
 impl Platform {
-    /// Creates the front and its core.
+    /// Creates the front end and its core.
     ///
     /// # Errors
-    /// Returns an error if the decision module rejects the settings.
+    /// Returns an error if the controller rejects the settings.
     pub fn new(config: &Config, log: Logger, clock: Clock) -> Result<Handle, SettingsError> {
         let (now, limits) = (clock.now(), &config.settings.limits);
         let exchanges = Exchanges::with_nodes_of(&config.settings);
@@ -166,7 +167,7 @@
                     .settings
                     .classes
                     .iter()
-                    .map(|c| c.target_delay / 2)
+                    .map(|c| c.latency_objective / 2)
                     .min()
                     .unwrap_or_default(),
                 last_event: config.last_known_event,
@@ -180,7 +181,7 @@
                 is_stopped: false,
                 client_budget: WriteBudget::new(connection::WRITE_BUDGET),
                 server_budget: WriteBudget::new(connection::WRITE_BUDGET),
-                hold_off: limits.retry_after_allowed.then_some(limits.max_retry_after.as_millis()),
+                hold_off: limits.hold_off_allowed.then_some(limits.max_hold_off.as_millis()),
                 look_up: None,
                 started_at: now,
                 peer_socket: None,
@@ -195,18 +196,17 @@
         Ok(platform)
     }
 
-    /// Applies the list updates of the configuration file.
+    /// Applies the membership updates of the configuration file.
     fn apply_known_updates(&mut self, config: &Config) {
         for (index, update) in config.known_updates.iter().enumerate() {
-            let kind =
-                if index == 0 || update.is_full_list { UpdateKind::Stored } else { UpdateKind::Changes };
+            let kind = if index == 0 || update.is_full { UpdateKind::Stored } else { UpdateKind::Changes };
             self.apply_update(kind, update);
         }
     }
 
     /// Applies the parts of a new configuration that may change while calls are served: the coordinator, the
-    /// other routers and the limits. With a coordinator, the exchange list is kept, since the coordinator is
-    /// asked for the events after the last one received. Without one, the list of the file applies.
+    /// other routers and the limits. With a coordinator, the membership is kept, since the coordinator is
+    /// asked for the events after the last one received. Without one, the membership of the file applies.
     pub fn reload(&mut self, config: &Config) {
         (self.peers, self.peers_all) = (config.peers.clone(), config.peers_all);
         self.clients.limit = max_client_connections(config);
@@ -233,10 +233,10 @@
         self.is_draining
     }
 
-    /// Sets the ENUM front that resolves the numbers of calls without a destination, and the share of a
+    /// Sets the ENUM front end that resolves the numbers of calls without a destination, and the share of a
     /// call's time that a look-up may take.
-    pub fn set_look_up(&mut self, front: enumeration::Handle, share: f64) {
-        self.look_up = Some((front, share));
+    pub fn set_look_up(&mut self, front_end: enumeration::Handle, share: f64) {
+        self.look_up = Some((front_end, share));
     }
 
     /// Returns the number of set-ups without a final answer, including those whose number is being looked up.
@@ -294,42 +294,42 @@
         !self.is_draining && (has_tried_all || self.clock.now() > self.started_at + 2 * self.connect_timeout)
     }
 
-    // ---- exchange list -------------------------------------------------------------------------
+    // ---- membership ----------------------------------------------------------------------------
 
-    /// Applies an update of the exchange list to the connection pools and the core.
-    fn apply_update(&mut self, kind: UpdateKind, update: &ListUpdate) {
+    /// Applies an update of the membership to the connection pools and the core.
+    fn apply_update(&mut self, kind: UpdateKind, update: &MembershipUpdate) {
         let now = self.clock.now();
         let listed = &update.exchanges;
         if kind != UpdateKind::Changes {
-            let is_listed = |id: &ExchangeId| listed.iter().any(|exchange| exchange.entry.exchange == *id);
+            let is_listed = |id: &ExchangeId| listed.iter().any(|exchange| exchange.member.exchange == *id);
             let missing = self.pools.iter_mut().filter(|(id, _)| !is_listed(id));
             missing.for_each(|(_, pool)| pool.set_listed(now, false));
         }
         let former_starts: BTreeMap<ExchangeId, Option<Duration>> =
-            self.core.exchanges.entries().map(|e| (e.exchange.clone(), e.up_since)).collect();
-        for ListedExchange { entry, address } in listed {
-            let id = &entry.exchange;
+            self.core.exchanges.members().map(|e| (e.exchange.clone(), e.up_since)).collect();
+        for ListedExchange { member, address } in listed {
+            let id = &member.exchange;
             let pool = self
                 .pools
                 .entry(id.clone())
                 .or_insert_with(|| ExchangePool::new(*address, self.silence_timeout));
-            pool.set_listed(now, entry.health != Health::Gone);
+            pool.set_listed(now, member.health != Health::Gone);
             let has_moved = std::mem::replace(&mut pool.address, *address) != *address;
-            if has_moved || former_starts.get(id).is_some_and(|up| *up != entry.up_since) {
+            if has_moved || former_starts.get(id).is_some_and(|up| *up != member.up_since) {
                 pool.retire_connections(now);
             }
-            info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => entry.node.0,
-                "health" => ?entry.health, "up_since" => ?entry.up_since, "event" => self.last_event);
+            info!(self.log, "exchange listed"; "exchange_id" => &*id.0, "place" => member.node.0,
+                "health" => ?member.health, "up_since" => ?member.up_since, "event" => self.last_event);
         }
         for ListedExchange { address, .. } in
-            listed.iter().filter(|exchange| exchange.entry.health != Health::Gone)
+            listed.iter().filter(|exchange| exchange.member.health != Health::Gone)
         {
             let former = self.pools.values().filter(|pool| !pool.is_listed() && pool.address == *address);
             former.for_each(ExchangePool::on_address_reassigned);
         }
         self.pools.retain(|_, pool| !pool.is_removable());
-        let entries = listed.iter().map(|exchange| exchange.entry.clone()).collect();
-        self.core.update_directory(now, kind, entries);
+        let members = listed.iter().map(|exchange| exchange.member.clone()).collect();
+        self.core.update_membership(now, kind, members);
         self.withdraw_queued(listed);
         self.flush();
     }
@@ -338,22 +338,22 @@
     /// them as not sent so that they go elsewhere: the connection may come up long after the exchange's drain
     /// was announced.
     fn withdraw_queued(&mut self, listed: &[ListedExchange]) {
-        for ListedExchange { entry, .. } in
-            listed.iter().filter(|exchange| exchange.entry.health != Health::Live)
+        for ListedExchange { member, .. } in
+            listed.iter().filter(|exchange| exchange.member.health != Health::Live)
         {
-            let queued = self.pools.get_mut(&entry.exchange).map(ExchangePool::take_queued_set_ups);
+            let queued = self.pools.get_mut(&member.exchange).map(ExchangePool::take_queued_set_ups);
             for call in queued.unwrap_or_default() {
-                self.on_attempt_connection_lost(&entry.exchange, &call, false);
+                self.on_attempt_connection_lost(&member.exchange, &call, false);
             }
         }
     }
 
-    /// Applies the list update in a frame, unless its event is no newer than the last one received.
+    /// Applies the membership update in a frame, unless its event is no newer than the last one received.
     pub(in crate::net) fn on_coordinator_frame(&mut self, frame: coordinator::Frame) {
-        let Some(list) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
+        let Some(update) = frame.update.filter(|_| frame.event_number > self.last_event) else { return };
         self.last_event = frame.event_number;
-        let listed = list.records.into_iter().map(|r| ListedExchange {
-            entry: DirectoryEntry {
+        let listed = update.records.into_iter().map(|r| ListedExchange {
+            member: Member {
                 exchange: ExchangeId(r.id.into()),
                 node: NodeNumber(u32::from(r.node)),
                 zone: u32::from(r.zone),
@@ -366,8 +366,8 @@
             },
             address: r.address,
         });
-        let update = ListUpdate { is_full_list: list.is_full_list, exchanges: listed.collect() };
-        self.apply_update(if list.is_full_list { UpdateKind::Full } else { UpdateKind::Changes }, &update);
+        let update = MembershipUpdate { is_full: update.is_full, exchanges: listed.collect() };
+        self.apply_update(if update.is_full { UpdateKind::Full } else { UpdateKind::Changes }, &update);
     }
 }
 
--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -1,9 +1,12 @@
-//! Decoder for the coordinator's frames: numbered updates of the list of booking exchanges.
+//! Decoder for the coordinator's frames: numbered updates of the membership, that is, of the
+//! exchanges with their states and addresses.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// Maximum frame length in bytes, without the length field.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024;
+/// Size of a frame's header in bytes: the event number and the kind of frame.
+const FRAME_HEADER_BYTES: usize = 9;
 /// Size of one record in bytes.
 const RECORD_BYTES: usize = 27;
 
@@ -29,15 +32,15 @@
 pub struct Frame {
     /// Number of the event.
     pub event_number: u64,
-    /// Change of the list; `None` in a heartbeat frame.
-    pub update: Option<ListUpdate>,
+    /// Update of the membership; `None` in a heartbeat frame.
+    pub update: Option<MembershipUpdate>,
 }
 
-/// An update of the list of exchanges.
+/// An update of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ListUpdate {
-    /// Whether the records are the full list, rather than changes to it.
-    pub is_full_list: bool,
+pub struct MembershipUpdate {
+    /// Whether the records are the full membership, rather than changes to it.
+    pub is_full: bool,
     /// The exchanges that the update reports.
     pub records: Vec<Record>,
 }
@@ -73,18 +76,18 @@
             return Ok(None);
         }
         let length = read_integer(&self.bytes[..4]) as usize;
-        if !(9..=MAX_FRAME_BYTES).contains(&length) {
+        if !(FRAME_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
             return Err("frame length out of range");
         }
         if self.bytes.len() < 4 + length {
             return Ok(None);
         }
         let frame: Vec<u8> = self.bytes.drain(..4 + length).skip(4).collect();
-        let payload = &frame[9..];
+        let payload = &frame[FRAME_HEADER_BYTES..];
         let update = match frame[8] {
             0 => None,
-            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(ListUpdate {
-                is_full_list: kind == 1,
+            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(MembershipUpdate {
+                is_full: kind == 1,
                 records: payload.chunks_exact(RECORD_BYTES).map(decode_record).collect(),
             }),
             1 | 2 => return Err("frame ends inside a record"),
@@ -94,6 +97,8 @@
     }
 }
 
+/// Decodes a record: id (4 bytes), IPv4 address (4), port (2), state (1), zone (1), then at offset 13 the
+/// node (2) and at offset 19 the start (8). The other bytes are not used.
 fn decode_record(bytes: &[u8]) -> Record {
     let address = Ipv4Addr::from(read_integer(&bytes[4..8]) as u32);
     Record {
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -93,8 +93,8 @@
     assert!(client.receive().first_line.contains(" 200 "));
 }
 
-/// An exchange may fail a share of its set-ups. Waiting before the next attempt would miss the class's target
-/// delay, and once all attempts are used the client is answered at once, not at its deadline.
+/// An exchange may fail a share of its set-ups. Waiting before the next attempt would miss the class's
+/// latency objective, and once all attempts are used the client is answered at once, not at its deadline.
 #[rstest]
 #[case::then_established(3, " 200 ")]
 #[case::until_attempts_are_exhausted(5, " 503 ")]
@@ -475,8 +475,8 @@
 fn the_shipped_configuration_files_are_valid(#[case] text: &str, #[case] appliance: bool) {
     let config = quartzspindle::lifecycle::config::Config::parse(text).unwrap();
     assert_eq!(config.known_updates[0].exchanges.len(), 1);
-    let set_up = (config.enum_front.is_some(), config.vrrp.is_some(), config.has_console);
-    assert_eq!(set_up, (appliance, appliance, appliance));
+    let configured = (config.enum_front_end.is_some(), config.vrrp.is_some(), config.has_console);
+    assert_eq!(configured, (appliance, appliance, appliance));
 }
 
 #[test]
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -9,7 +9,7 @@
 
 use harness::*;
 use quartzspindle::call::exchanges::Exchanges;
-use quartzspindle::interface::{DirectoryEntry, ExchangeId, Health, NodeNumber, UpdateKind};
+use quartzspindle::interface::{ExchangeId, Health, Member, NodeNumber, UpdateKind};
 use rstest::rstest;
 
 /// Starts an attempt. Returns the router's connection to the exchange as the last item.
@@ -47,7 +47,7 @@
     stream.write_all(corrupted.as_bytes()).unwrap();
     let mut established = Vec::new();
     while established.len() < 2 {
-        // The decision module may cancel an attempt that takes longer than the other one; it is repeated
+        // The controller may cancel an attempt that takes longer than the other one; it is repeated
         // then.
         let (start, stream, at) = exchange.receive("START");
         assert!(at - started_at >= Duration::from_millis(500), "{:?}", at - started_at);
@@ -64,7 +64,7 @@
 /// Guards against circuits held for nobody: the call whose answer was corrupted may be established there.
 #[test]
 fn a_call_whose_answer_was_corrupted_is_released_before_it_is_set_up_again() {
-    let (exchange, _router, _caller, mut stream) = start_attempt();
+    let (exchange, _router, _client, mut stream) = start_attempt();
     stream.write_all(b"{\"verb\":\"STARTED\",\n").unwrap();
     let (released, _, at) = exchange.receive("FINISH");
     assert_eq!((&released["tag"], &released["rc"]), (&"00000000000000e0".into(), &16.into()));
@@ -76,7 +76,7 @@
 /// Guards against memory used up by a line that never ends.
 #[test]
 fn a_connection_with_an_endless_line_is_closed() {
-    let (_exchange, _router, _caller, mut stream) = start_attempt();
+    let (_exchange, _router, _client, mut stream) = start_attempt();
     stream.write_all(b"{\"verb\":\"STARTED\",\"tag\":\"00000000000000e0\",\"blob\":\"").unwrap();
     let cut_off = (0..10_000).any(|_| stream.write_all(&[b'x'; 8192]).is_err());
     assert!(cut_off, "the router still reads");
@@ -135,7 +135,7 @@
 }
 
 /// Guards against set-ups that wait for their time-out on a stalled connection while other connections
-/// receive group states: they are repeated early enough to meet the target delay.
+/// receive group states: they are repeated early enough to meet the latency objective.
 #[test]
 fn set_ups_on_a_stalled_connection_are_repeated_as_soon_as_another_receives_a_group_state() {
     let (exchange, _router, mut client, stalled) = start_attempt();
@@ -167,12 +167,12 @@
     assert!(client.receive().first_line.contains(" 200 "));
 }
 
-/// Guards against an exchange list that grows with every exchange that is replaced.
+/// Guards against a membership that grows with every exchange that is replaced.
 #[test]
-fn a_removed_exchange_is_dropped_from_the_list() {
+fn a_removed_exchange_is_dropped_from_the_membership() {
     let mut exchanges = Exchanges::default();
     for n in 0..1000 {
-        let entry = |n: u32, health| DirectoryEntry {
+        let member = |n: u32, health| Member {
             exchange: ExchangeId(format!("s-{n:08x}").into()),
             node: NodeNumber(n % 3),
             zone: 0,
@@ -180,11 +180,11 @@
             up_since: None,
         };
         let removed =
-            exchanges.apply(UpdateKind::Changes, &[entry(n, Health::Live), entry(n + 1, Health::Gone)]);
+            exchanges.apply(UpdateKind::Changes, &[member(n, Health::Live), member(n + 1, Health::Gone)]);
         assert!(removed.is_empty());
-        assert_eq!(exchanges.apply(UpdateKind::Changes, &[entry(n, Health::Gone)]).len(), 1);
+        assert_eq!(exchanges.apply(UpdateKind::Changes, &[member(n, Health::Gone)]).len(), 1);
     }
-    assert_eq!(exchanges.entries().count(), 0);
+    assert_eq!(exchanges.members().count(), 0);
     assert!(exchanges.serves(NodeNumber(2)) && !exchanges.serves(NodeNumber(3)));
 }
 
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -196,12 +196,12 @@
         ));
     }
 
-    pub fn send_invite(&mut self, call: &str, dest: u32, limit_ms: u32) {
-        let dest = format!("X-Dest: dest:{dest};width:1;via:-1\r\n");
+    pub fn send_invite(&mut self, call: &str, destination: u32, ring_limit_ms: u32) {
+        let destination = format!("X-Dest: dest:{destination};width:1;via:-1\r\n");
         self.send_request(
             "INVITE",
             call,
-            &format!("X-Call-Class: voice\r\nX-Ring-Limit: {limit_ms}\r\n{dest}"),
+            &format!("X-Call-Class: voice\r\nX-Ring-Limit: {ring_limit_ms}\r\n{destination}"),
             BODY,
         );
     }
@@ -235,6 +235,7 @@
     }
 }
 
+/// Session description, with characters that JSON escapes and one that is not ASCII.
 pub const BODY: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n\"quoted\\\" \u{1} žnidar\r\n";
 
 /// An emulated booking exchange. It reports the state of its trunk group on each new connection and passes
--- a/tests/regressions.rs
+++ b/tests/regressions.rs
@@ -69,12 +69,12 @@
     assert!((4..=20).contains(&silent), "{silent} set-ups in 12 s to an exchange that never answers");
 }
 
-/// Guards against a processor that has recovered but gets no calls: with target delays of half a second, a
-/// trial every three seconds leaves it without calls for several target delays.
+/// Guards against a processor that has recovered but gets no calls: with latency objectives of half a second,
+/// a trial every three seconds leaves it without calls for several times that long.
 #[test]
-fn the_trial_interval_follows_short_target_delays() {
+fn the_trial_interval_follows_short_latency_objectives() {
     let mut short_delays = settings(3);
-    short_delays.classes.iter_mut().for_each(|c| c.target_delay = ms(500));
+    short_delays.classes.iter_mut().for_each(|c| c.latency_objective = ms(500));
     let mut network = Network::new(short_delays, 1);
     drive(&mut network, 1, 120, ms(50), None);
     let mut trial_times = Vec::new();
@@ -179,11 +179,11 @@
 
 /// Guards against losses at one exchange that go unnoticed among the answers of busier ones: every third
 /// answer of one exchange is lost, and four calls in five go to another one. A call that is sent again can
-/// just be established within the short target delay.
+/// just be established within the short latency objective.
 #[test]
-fn calls_recover_from_answers_lost_at_one_exchange_within_short_target_delays() {
+fn calls_recover_from_answers_lost_at_one_exchange_within_short_latency_objectives() {
     let mut short_delays = settings(3);
-    short_delays.classes.iter_mut().for_each(|c| c.target_delay = ms(500));
+    short_delays.classes.iter_mut().for_each(|c| c.latency_objective = ms(500));
     short_delays.guard_time = ms(250);
     let mut network = Network::new(short_delays, 1);
     let (mut lost, mut established) = (Vec::new(), 0);
@@ -209,7 +209,7 @@
     let late = lost.len() as u32 * 2 / 3;
     assert!(
         established * 10 >= late * 8,
-        "{established} of about {late} calls with a lost set-up established within the target delay"
+        "{established} of about {late} calls with a lost set-up established within the latency objective"
     );
 }
 
@@ -246,8 +246,8 @@
     assert_eq!(network.outstanding_at(&call), None, "the last circuits of the first leg are reserved");
 }
 
-/// Guards against the loss of calls whose router is down: the front hands them to all other routers, and so
-/// also to that of their destination, which can reach its own exchange over tandems only.
+/// Guards against the loss of calls whose router is down: they arrive at the other routers, and so also at
+/// that of their destination, which can reach its own exchange over tandems only.
 #[test]
 fn a_call_to_the_own_exchange_goes_over_tandems_and_is_refused_once_all_cranked_it_back() {
     let mut network = Network::new(settings(3), 1);
@@ -357,11 +357,11 @@
 }
 
 #[test]
-fn a_redial_past_the_target_delay_waits_behind_a_first_call_with_as_little_time_left() {
+fn a_redial_past_the_latency_objective_waits_behind_a_first_call_with_as_little_time_left() {
     let mut network = Network::new(settings(2), 1);
     network.report_free_circuits(1, 0.0);
     network.dial("patient", 1, 0, ms(400), false);
-    network.advance(ms(1500)); // it is refused meanwhile, and its target delay passes
+    network.advance(ms(1500)); // it is refused meanwhile, and its latency objective passes
     let fresh = network.dial("hurried", 1, 0, ms(400), false);
     network.advance(ms(5));
     let redial = network.dial("patient", 1, 0, ms(400), false);
@@ -373,11 +373,11 @@
 #[test]
 fn calls_wait_for_a_destination_without_a_live_exchange() {
     let mut network = Network::new(settings(3), 1);
-    network.update_directory(UpdateKind::Changes, vec![entry(1, Health::Draining, None)]);
+    network.update_membership(UpdateKind::Changes, vec![member(1, Health::Draining, None)]);
     let call = network.offer_call(1, 0);
     assert!(network.outstanding_at(&call).is_none() && network.is_unanswered(&call));
-    let replacement = DirectoryEntry { exchange: exchange(91), ..entry(1, Health::Live, None) };
-    network.update_directory(UpdateKind::Changes, vec![replacement]);
+    let replacement = Member { exchange: exchange(91), ..member(1, Health::Live, None) };
+    network.update_membership(UpdateKind::Changes, vec![replacement]);
     network.advance(ms(600));
     assert_eq!(network.outstanding_at(&call), Some(exchange(91)));
 }
@@ -487,13 +487,13 @@
 }
 
 #[test]
-fn a_failed_directory_request_is_repeated_once_a_cycle_and_the_entries_are_kept() {
-    let mut network = Network::new(Settings { directory_polled: true, ..settings(3) }, 1);
+fn a_failed_membership_request_is_repeated_once_a_cycle_and_the_members_are_kept() {
+    let mut network = Network::new(Settings { membership_polled: true, ..settings(3) }, 1);
     let request_count =
         |network: &Network| network.actions.iter().filter(|a| **a == Action::Subscribe).count();
     assert_eq!(request_count(&network), 1);
     for _ in 0..20 {
-        network.fail_directory_update();
+        network.fail_membership_update();
         network.advance(ms(100));
     }
     assert!((3..=6).contains(&request_count(&network)), "{} requests in 2 s", request_count(&network));
