--- a/src/protocol/coordinator.rs
+++ b/src/protocol/coordinator.rs
@@ -33,12 +33,12 @@
     /// Number of the event.
     pub event_number: u64,
     /// Update of the membership; `None` in a heartbeat frame.
-    pub update: Option<MembershipUpdate>,
+    pub update: Option<MembershipRecords>,
 }
 
-/// An update of the membership.
+/// An update of the membership, as the coordinator sends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MembershipUpdate {
+pub struct MembershipRecords {
     /// Whether the records are the full membership, rather than changes to it.
     pub is_full: bool,
     /// The exchanges that the update reports.
@@ -86,7 +86,7 @@
         let payload = &frame[FRAME_HEADER_BYTES..];
         let update = match frame[8] {
             0 => None,
-            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(MembershipUpdate {
+            kind @ (1 | 2) if payload.len() % RECORD_BYTES == 0 => Some(MembershipRecords {
                 is_full: kind == 1,
                 records: payload.chunks_exact(RECORD_BYTES).map(decode_record).collect(),
             }),
